--- a/ingress/policy/__init__.py
+++ b/ingress/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of an ingress: admission, load balancing, retries, quotas; no I/O, no clock."""
+"""All decisions of an ingress: admission, load balancing, retries, quotas; no I/O, no clock."""
--- a/ingress/policy/actions.py
+++ b/ingress/policy/actions.py
@@ -1,6 +1,6 @@
-"""What a gateway may do, as plain data.  Durations are seconds.
+"""Actions that a gateway requests, as plain data.  Durations are in seconds.
 
-The constructors are written out for the reason that `events` gives.
+The constructors are defined explicitly, for the reason given in `events`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     """Forwards a request to a backend.
 
     Attributes:
-        request_id: The request.
+        request_id: The request to forward.
         backend: The backend's id.
         timeout: Seconds after which the attempt ends with `Outcome.TIMEOUT`; 0 for the request's
             deadline.
@@ -32,11 +32,11 @@
 
 @dataclass(init=False, slots=True)
 class CancelAttempt:
-    """Gives up an attempt in flight.
+    """Cancels an attempt in flight.
 
     Attributes:
-        request_id: The request.
-        attempt: The number of the attempt among the request's, from 0.
+        request_id: The request that the attempt belongs to.
+        attempt: The number of the attempt within the request, from 0.
     """
 
     request_id: str
@@ -49,11 +49,11 @@
 
 @dataclass(init=False, slots=True)
 class RejectRequest:
-    """Ends a request with the response that nothing ran, so that a retry does no harm.
+    """Ends a request with the response that it did not run, so a retry is harmless.
 
     Attributes:
-        request_id: The request.
-        retry_after: Seconds that the client is told to wait; 0 for none.
+        request_id: The request to end.
+        retry_after: Seconds that the client should wait before a retry; 0 to suggest none.
     """
 
     request_id: str
@@ -66,10 +66,10 @@
 
 @dataclass(init=False, slots=True)
 class FailRequest:
-    """Ends a request with a response that promises nothing about its effect.
+    """Ends a request with the response that it may have run.
 
     Attributes:
-        request_id: The request.
+        request_id: The request to end.
     """
 
     request_id: str
@@ -80,11 +80,11 @@
 
 @dataclass(init=False, slots=True)
 class SetTimer:
-    """Asks for a `TimerFired`.
+    """Sets a timer that triggers a `TimerFired` event.
 
     Attributes:
         delay: Seconds from now.
-        token: What that event repeats.
+        token: The token that the event carries.
     """
 
     delay: float
@@ -111,7 +111,7 @@
 
 @dataclass(init=False, slots=True)
 class CloseIdleConnections:
-    """Closes the connections to a backend that carry no attempt.
+    """Closes the connections to a backend that have no attempt in flight.
 
     Attributes:
         backend: The backend's id.
@@ -128,8 +128,8 @@
     """Sends a message to other gateways.
 
     Attributes:
-        text: At most 256 bytes.
-        peer: The number of the gateway that gets it; None for all.
+        text: The message, at most 256 bytes.
+        peer: The index of the receiving gateway; None for all.
     """
 
     text: str
@@ -142,12 +142,12 @@
 
 @dataclass(init=False, slots=True)
 class AddToCounter:
-    """Adds to the counter that all gateways share and asks for the total.
+    """Adds to the counter that all gateways share and requests the total.
 
     Attributes:
-        key: What is added to.
-        amount: Units; may be 0, to ask only, or below 0, to give back.
-        lifetime: Seconds after which the counter may forget the key.
+        key: The counter key to add to.
+        amount: Units to add; 0 only reads the total, and negative amounts return units.
+        lifetime: Seconds after which the counter may discard the key.
     """
 
     key: int
@@ -162,10 +162,10 @@
 
 @dataclass(init=False, slots=True)
 class WatchBackends:
-    """Subscribes to changes of the endpoint list, or ends that.
+    """Subscribes to changes of the endpoint list, or unsubscribes.
 
     Attributes:
-        enabled: Whether changes are to be told.
+        enabled: Whether to subscribe.
     """
 
     enabled: bool
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchBackends:
-    """Asks for the endpoint list, whole, where changes are not pushed."""
+    """Fetches the complete endpoint list, where changes are not pushed."""
 
 
 @dataclass(init=False, slots=True)
--- a/ingress/policy/admission.py
+++ b/ingress/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission: forwards a request, calls the shared counter about it first, or rejects it.
+"""Admission control: forwards a request, calls the shared counter first, or rejects the request.
 
-The ordinary path is a token bucket for each customer that holds this gateway's slice of the quota;
-what does not fit is rejected at once.  All else departs from that.
+By default, a token bucket for each customer holds this gateway's slice of the quota, and a request
+that does not fit is rejected immediately.  All other rules are exceptions from this default.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 from ingress.policy.settings import Plan, RequestClass, Settings
 
 LOW_SLICE_SHARE: Final = 0.5
-"""Of the slice: with less left, the counter is called."""
-MIN_CALLS_TIME_LEFT: Final = 4
-"""Counter timeouts that the request's deadline has to leave for a call to be made."""
+"""Share of the slice's capacity; if a request would leave less, the counter is called."""
+MIN_TIME_LEFT_IN_TIMEOUTS: Final = 4
+"""Minimum time before the request's deadline for a call to be made, in counter timeouts."""
 MAX_OVER_QUOTA_PRESSURE: Final = -0.1
-"""Beyond the quota a request is forwarded only below this pressure, where that pays at all."""
+"""A request beyond the quota is forwarded only below this pressure, if it is worthwhile at all."""
 COUNTER_LOST_S: Final = counter_keys.EPOCH_S / 3
-"""Without a reply for longer the counter is taken for dead, not crowded."""
+"""Time without a reply after which the counter counts as unavailable, not as overloaded."""
 RECENT_TOTAL_S: Final = counter_keys.EPOCH_S / 3
 
 
 class AdmissionController:
-    """Decides on requests as they arrive and as counter replies come.
+    """Decides on requests when they arrive and when counter replies arrive.
 
     Attributes:
-        customers: all customers by id, in the order in which they came.
-        started_at: when this gateway handled its first event, in seconds.
+        customers: All customers by id, in order of their first request.
+        started_at: Time in seconds at which this gateway handled its first event.
     """
 
     def __init__(
@@ -62,20 +62,20 @@
         self._dispatcher = dispatcher
         self._classes = {c.name: c for c in settings.classes}
         self._plans = {p.name: p for p in settings.plans}
-        self._first_time_left: dict[str, float] = {}  # of a request that is no retry, by class
+        self._first_time_left: dict[str, float] = {}  # of requests that are no retries, by class
         self.customers: dict[str, Customer] = {}
         self.started_at = 0.0
 
     def drop_idle_customers(self, now: float) -> None:
-        """Forgets the customers of which a new one would be no different."""
+        """Removes idle customers whose state equals that of a new customer."""
         for name in [k for k, customer in self.customers.items() if customer.is_idle(now)]:
             del self.customers[name]
 
     def request_received(self, now: float, event: RequestReceived) -> None:
-        """Decides on a request, or lets it wait for the counter.
+        """Decides on a request, or queues it until the counter replies.
 
         Raises:
-            KeyError: the plan or the request class is not configured.
+            KeyError: The plan or the request class is not configured.
         """
         plan = self._plans[event.plan]
         request_class = self._classes[event.request_class]
@@ -85,8 +85,8 @@
         self._requests.add(request)
         request.past_objective = self._is_past_objective(event, request_class)
         worthless = request.past_objective and not request_class.late_priority_weight
-        # An even share of a ceiling is less than the busiest gateway needs; only a total tells of
-        # more.
+        # An even share of a ceiling is less than the busiest gateway needs.  Only a counter total
+        # shows that more units are available.
         ceiling_reached = plan.ceiling_rate > 0 and not customer.ceiling.has_tokens(
             now, request.units
         )
@@ -126,10 +126,11 @@
         return customer
 
     def _is_past_objective(self, event: RequestReceived, request_class: RequestClass) -> bool:
-        """Returns whether a retry can't be answered within its latency objective any more.
+        """Returns whether a retry can no longer be answered within its latency objective.
 
-        What a marked retry has left tells when its request began, unless its time is cut to that of
-        a first attempt.  Retries that come too late take what others could use in time.
+        The time left of a marked retry shows when the first request was sent, unless it is limited
+        to that of a first request.  Late retries use capacity that other requests could use in
+        time.
         """
         if not event.is_retry:
             self._first_time_left[request_class.name] = event.time_left
@@ -142,7 +143,7 @@
         return elapsed + mean_latency > request_class.latency_objective
 
     def _may_call_counter(self, now: float, request: RequestState, ceiling_reached: bool) -> bool:
-        """Returns whether to call the counter: the slice is low and others may leave units."""
+        """Returns whether to call the counter: the slice is low and others may have units left."""
         customer = request.customer
         estimate = customer.estimate
         slice_suffices = customer.slice_has_tokens(
@@ -150,22 +151,23 @@
         )
         if request.past_objective or (slice_suffices and not ceiling_reached):
             return False
-        # A crowded counter is asked again only after the estimate has aged.
-        recall_after = (
+        # An overloaded counter is called again only after the estimate has expired.
+        min_call_interval = (
             request.units / request.plan.rate
             if self._throttle.call_share >= 1
             else estimate.max_age
         )
         units_may_be_left = (
-            now - estimate.last_total_at > recall_after or estimate.level(now) >= request.units
+            now - estimate.last_total_at > min_call_interval or estimate.level(now) >= request.units
         )
         time_left = request.deadline - now
         return (
-            units_may_be_left and time_left > MIN_CALLS_TIME_LEFT * self._settings.counter_timeout
+            units_may_be_left
+            and time_left > MIN_TIME_LEFT_IN_TIMEOUTS * self._settings.counter_timeout
         )
 
     def counter_replied(self, now: float, event: CounterReply) -> None:
-        """Takes in a counter reply and decides on the requests that waited for it."""
+        """Processes a counter reply and decides on the requests that waited for it."""
         customer = self._quota_reporter.reply_received(now, event)
         if customer is not None:
             self._release_waiting(now, customer)
@@ -176,13 +178,15 @@
             and customer.awaiting_reply
             and self._quota_reporter.call_counter(now, customer)
         ):
-            return  # the former key was read for the last time: the total of the new one decides
+            # The reply was the last read of the previous key; the total of the new key decides.
+            return
         waiting = customer.awaiting_reply
         customer.awaiting_reply = []
         for request in waiting:
             self._decide(now, request)
         if customer.counter_called_at > NEVER:
-            return  # the count is being corrected: the others wait for that reply
+            # A call that corrects the count is in flight; the queued requests wait for its reply.
+            return
         queued = customer.awaiting_next_call
         customer.awaiting_next_call = []
         if queued and self._quota_reporter.call_counter(now, customer, tuple(queued)):
@@ -192,7 +196,7 @@
                 self._decide(now, request)
 
     def _decide(self, now: float, request: RequestState) -> None:
-        """Forwards a request within the quota as far as is known, or beyond it where that pays."""
+        """Forwards a request that fits the known quota or is worthwhile beyond it, or ends it."""
         if request.finished:
             self._quota_reporter.return_units(now, request)
             return
@@ -203,13 +207,13 @@
             within_quota = False
         pressure = self._load_shedder.pressure(now)
         request.within_quota = within_quota
-        pays = within_quota or (
+        admissible = within_quota or (
             plan.over_quota_weight > plan.over_quota_cost and pressure < MAX_OVER_QUOTA_PRESSURE
         )
         if plan.ceiling_rate and not self._ceiling_allows(now, request):
-            pays = False
+            admissible = False
         rank = self._load_shedder.rank(now, request)
-        if not pays or pressure > rank or not self._dispatcher.start_attempt(now, request):
+        if not admissible or pressure > rank or not self._dispatcher.start_attempt(now, request):
             self._requests.reject_or_fail(now, request)
 
     def _ceiling_allows(self, now: float, request: RequestState) -> bool:
@@ -219,14 +223,14 @@
         )
 
     def _is_within_quota(self, now: float, request: RequestState) -> bool:
-        """Returns whether the quota is taken to hold the request's units."""
+        """Returns whether the quota is estimated to hold the request's units."""
         customer = request.customer
         estimate = customer.estimate
         if not request.plan.rate:
             return True
         if estimate.is_fresh(now):
-            # A total that was called for holds this request's units; what was taken since is off
-            # the estimate.
+            # If the counter was called for this request, the total includes its units.  The
+            # estimate already excludes units that were consumed since the total.
             return estimate.level(now) >= request.units
         if request.plan.ceiling_rate and estimate.last_total_at > customer.slice_corrected_at:
             self._correct_slice(now, customer)
@@ -237,9 +241,10 @@
         return self._admit_optimistically(now, request)
 
     def _correct_slice(self, now: float, customer: Customer) -> None:
-        """Limits the slice to an even share of what the last total left, as no further one came.
+        """Limits the slice to an even share of the units left at the last total.
 
-        What the slice holds may have been lent to others, and a ceiling must hold.
+        This applies when no newer total arrives: the units in the slice may have been lent to other
+        gateways, and a ceiling must not be exceeded.
         """
         customer.slice_corrected_at = customer.estimate.last_total_at
         customer.slice_has_tokens(now, 0.0)
--- a/ingress/policy/attempt_dispatcher.py
+++ b/ingress/policy/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Attempts: starts them, takes in how they ended, and retries."""
+"""Starts attempts, processes their outcomes and retries requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """Starts attempts and acts on their outcomes.
 
     Attributes:
-        attempts: attempts in flight by request id and number.
+        attempts: Attempts in flight, by request id and attempt number.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.attempts: dict[tuple[str, int], SentAttempt] = {}
 
     def start_attempt(self, now: float, request: RequestState) -> bool:
-        """Starts an attempt; returns False if no backend may get it."""
+        """Starts an attempt; returns False if no backend is eligible for it."""
         target = self._load_balancer.choose(request, now)
         if target is None:
             return False
@@ -67,7 +67,7 @@
         return True
 
     def _record_forwarded(self, now: float, request: RequestState) -> None:
-        """Spends what the request costs its customer, with its first attempt."""
+        """Charges the request to its customer and to the budgets, with its first attempt."""
         customer = request.customer
         request.forwarded = True
         self._optimistic_admission.request_forwarded(request.expected_loss)
@@ -80,7 +80,7 @@
             request.units_counted = False
 
     def attempt_ended(self, now: float, event: AttemptEnded) -> None:
-        """Takes in the outcome of an attempt and completes or retries its request."""
+        """Processes the outcome of an attempt and completes or retries its request."""
         key = (event.request_id, event.attempt)
         attempt = self.attempts.pop(key, None)
         if attempt is None:
@@ -118,7 +118,7 @@
             self._quota_reporter.settle(request.customer, event.settled_units - request.units)
 
     def _record_superseded(self, event: AttemptEnded, request: RequestState) -> None:
-        """Gives the units back if the request was answered without a backend."""
+        """Returns the units to the customer if no backend ran the answered request."""
         if event.finished and request.within_quota and not request.attempts_possibly_run:
             self._quota_reporter.settle(request.customer, -request.units)
 
@@ -139,10 +139,10 @@
         outlier_detection.record_failure(target, now, event.outcome, self._cost.longest_objective)
 
     def _retry_or_finish(self, now: float, request: RequestState, never_reached: bool) -> None:
-        """Retries where that is of use, else gives the final response.
+        """Retries the request if that is useful, or gives its final response.
 
-        Retries keep to a budget and to spare capacity, but for one after an attempt that reached no
-        backend: none has spent any work on it.
+        Retries require a retry budget and spare capacity.  A retry after an attempt that reached no
+        backend is exempt, since no backend has spent any work on it.
         """
         useful = self._retry_policy.is_useful(now, request)
         if useful and never_reached and self.start_attempt(now, request):
--- a/ingress/policy/consistency_reporting.py
+++ b/ingress/policy/consistency_reporting.py
@@ -1,4 +1,4 @@
-"""Runs the consistency check of the shared counter; a partitioned one limits the quotas."""
+"""Runs consistency checks of the shared counter; a partitioned counter limits the quotas."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ConsistencyReporter:
-    """Adds to the counter keys of the consistency check and logs what the totals show.
+    """Adds to the counter keys of the consistency checks and logs changes that the totals show.
 
     Attributes:
-        checks: the state of the check.
+        checks: The state of the checks.
     """
 
     def __init__(
@@ -29,17 +29,17 @@
         self.checks = CounterConsistency(settings.gateway_count)
 
     def call_due(self, now: float) -> None:
-        """Adds to the counter key whose turn it is and sets the timer for the next."""
+        """Adds to the counter keys that are due and sets the timer for the next call."""
         keys, delay = self.checks.due_calls(now)
         for key in keys:
             self._actions.append(AddToCounter(key, 1.0, counter_keys.KEY_LIFETIME_S))
         self._actions.append(SetTimer(delay, CONSISTENCY_TIMER))
 
     def reply_received(self, now: float, event: CounterReply, check: ConsistencyCheck) -> None:
-        """Takes in the outcome of a call about `check` and logs a change of its state."""
-        made_at = now - event.latency
-        if not check.in_flight or made_at < check.called_at - self._settings.tick_interval:
-            return  # that call was given up, and the check counts anew
+        """Processes the outcome of a call for `check` and logs changes of its state."""
+        sent_at = now - event.latency
+        if not check.in_flight or sent_at < check.called_at - self._settings.tick_interval:
+            return  # the call was abandoned, and the check has started over
         state_before = check.state
         replacements_before = check.replacements
         if event.outcome is Outcome.OK:
@@ -49,16 +49,17 @@
             check.call_failed(event.outcome is Outcome.TIMEOUT)
         name = f"counter: check {self.checks.checks.index(check)}"
         if check.replacements > replacements_before:
-            self._actions.append(WriteLog(f"{name} began anew"))
+            self._actions.append(WriteLog(f"{name} detected a replaced counter"))
         if check.state is not state_before:
             members = f"{check.member_count:.1f} of {self._settings.gateway_count} gateways seen"
             self._actions.append(WriteLog(f"{name} {check.state.value}, {members}"))
 
     def limit_share(self, now: float, customer: Customer) -> None:
-        """Limits what this gateway gives out of a quota of which others may give out the rest.
+        """Limits the share of a customer's quota that this gateway may grant during a partition.
 
-        Under a ceiling that is the reachable share; else the middle between it and everything, once
-        the partition has lasted longer than a start of the program takes.
+        Gateways across the partition may grant the rest.  If the plan has a ceiling, the limit is
+        the reachable share.  Otherwise it is the middle between the reachable share and 1, once the
+        partition has lasted longer than a restart of a gateway takes.
         """
         if customer.plan.ceiling_rate:
             share = self.checks.reachable_share(now)
--- a/ingress/policy/events.py
+++ b/ingress/policy/events.py
@@ -1,9 +1,9 @@
-"""What happens to a gateway, as plain data.
+"""Events that a gateway handles, as plain data.
 
-Durations are seconds; points in time are seconds of the clock that the gateway is driven by.
+Durations are in seconds; points in time are seconds of the clock that drives the gateway.
 
-The constructors of what comes with each request are written out: one that `dataclass` generates
-would stay interpreted in the compiled form.
+Events that occur with each request define their constructors explicitly: a constructor that
+`dataclass` generates would stay interpreted in the compiled form.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from typing import TypeAlias
 
 NO_LOAD_REPORT: Mapping[str, float] = MappingProxyType({})
-"""The load report of a response that carries none."""
+"""The load report of a response without one."""
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """Outcome of an attempt, a probe or a counter call."""
 
     OK = "ok"
     ERROR = "error"
@@ -37,7 +37,7 @@
 
 
 class Readiness(Enum):
-    """Whether a backend takes requests; the values are those of the discovery service."""
+    """Whether a backend accepts requests; the values are those of the discovery service."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -45,16 +45,16 @@
 
 
 class EndpointListKind(Enum):
-    """What an event about the backends holds."""
+    """Which entries of the endpoint list a `BackendsChanged` event contains."""
 
     UPDATE = "update"
-    """The entries that changed."""
+    """Only the entries that changed."""
     COMPLETE = "complete"
     """All entries."""
     RESTORED = "restored"
-    """All entries, after discovery could not be reached, or for the first time."""
+    """All entries, either for the first time or after discovery was unavailable."""
     UNAVAILABLE = "unavailable"
-    """None: discovery can't be reached, and the last list may be out of date."""
+    """No entries: discovery is unavailable, and the last list may be outdated."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,11 +64,12 @@
     Attributes:
         id: The backend's name in discovery.
         zone: Its failure domain.
-        kind: Its model, as discovery tells it.
-        cell: The number of the group that shares one memory of idempotency keys; 0 for none.
-        readiness: Whether it takes requests.
-        weight: Its capacity relative to the other backends'.
-        started_at: When it started; 0 when that was long ago.
+        kind: Its model, as reported by discovery.
+        cell: The number of the group of backends that share one store of idempotency keys; 0 for
+            none.
+        readiness: Whether it accepts requests.
+        weight: Its capacity relative to that of the other backends.
+        started_at: When it started; 0 if it started long ago.
     """
 
     id: str
@@ -82,12 +83,12 @@
 
 @dataclass(init=False, slots=True)
 class BackendsChanged:
-    """The endpoint list changed, or can't be told any more.
+    """The endpoint list changed or became unavailable.
 
     Attributes:
-        kind: What `backends` holds.
+        kind: Which entries `backends` contains.
         backends: Entries of the list.
-        version: Grows with each change of the list.
+        version: A number that increases with each change of the list.
     """
 
     kind: EndpointListKind
@@ -104,20 +105,20 @@
 
 @dataclass(init=False, slots=True)
 class RequestReceived:
-    """A client asks for a response.
+    """A client sent a request.
 
     Attributes:
-        request_id: Names the request until it has ended.
+        request_id: Identifies the request until it has ended.
         request_class: The name of its class.
         plan: The name of its customer's plan.
         customer: The name of its customer.
         time_left: Seconds for which the client still waits.
-        units: What it takes from quota and ceiling.
-        gateway_count: How many gateways its customer may use.
-        first_gateway: The number of the first of those; the others follow, counted round.
-        is_retry: Whether the client asked for the same before.
-        is_write: Whether it changes something.
-        cell: The only group of backends in which it may run, since an earlier submission under its
+        units: Units that it consumes from the quota and the ceiling.
+        gateway_count: The number of gateways that its customer may use.
+        first_gateway: The index of the first of these gateways; the others follow and wrap around.
+        is_retry: Whether the client sent the same request before.
+        is_write: Whether it changes data.
+        cell: The only group of backends in which it may run, since an earlier submission with its
             idempotency key may have run there; 0 for any.
     """
 
@@ -162,13 +163,13 @@
 
 @dataclass(init=False, slots=True)
 class ResponseStarted:
-    """The first part of a streaming response came.
+    """The first part of a streaming response arrived.
 
     Attributes:
-        request_id: The request that is answered.
-        attempt: The number of the attempt among the request's, from 0.
+        request_id: The request that the response belongs to.
+        attempt: The number of the attempt within the request, from 0.
         backend: The backend's id.
-        latency: Seconds since the attempt was started.
+        latency: Seconds since the attempt started.
     """
 
     request_id: str
@@ -185,19 +186,19 @@
 
 @dataclass(init=False, slots=True)
 class AttemptEnded:
-    """An attempt has its one outcome.
+    """An attempt ended with its only outcome.
 
     Attributes:
         request_id: The request that the attempt belongs to.
-        attempt: The number of the attempt among the request's, from 0.
+        attempt: The number of the attempt within the request, from 0.
         backend: The backend's id.
-        outcome: How it ended.
-        latency: Seconds since the attempt was started.
-        finished: Whether the request has ended with it.
+        outcome: The outcome of the attempt.
+        latency: Seconds since the attempt started.
+        finished: Whether the request ended with this attempt.
         metered_use: The customer's use at all gateways in a past period, as 1 + percent of its
-            rate; 0 for no figure.
-        settled_units: The units that the request took in truth; 0 for no figure.
-        load_report: Figures of the backend's load, by their names in `wire_settings.LOAD_FIELDS`.
+            rate; 0 if not reported.
+        settled_units: The units that the request actually consumed; 0 if not reported.
+        load_report: Metrics of the backend's load, by their names in `wire_settings.LOAD_FIELDS`.
     """
 
     request_id: str
@@ -235,10 +236,10 @@
 
 @dataclass(init=False, slots=True)
 class ClientDisconnected:
-    """Nobody waits for the request's response any more.
+    """The client of a request disconnected, which ends the request.
 
     Attributes:
-        request_id: The request that has ended so.
+        request_id: The request that ended.
     """
 
     request_id: str
@@ -249,7 +250,7 @@
 
 @dataclass(init=False, slots=True)
 class TimerFired:
-    """The time of a `SetTimer` has come.
+    """A timer that a `SetTimer` action set has expired.
 
     Attributes:
         token: The token of that action.
@@ -263,13 +264,13 @@
 
 @dataclass(init=False, slots=True)
 class ProbeEnded:
-    """A health check has its outcome.
+    """A health check ended.
 
     Attributes:
         backend: The backend's id.
-        outcome: How it ended.
-        latency: Seconds since it was started.
-        load_report: Figures of the backend's load.
+        outcome: The outcome of the health check.
+        latency: Seconds since the health check started.
+        load_report: Metrics of the backend's load.
     """
 
     backend: str
@@ -292,11 +293,11 @@
 
 @dataclass(init=False, slots=True)
 class PeerMessageReceived:
-    """Another gateway's `SendPeerMessage` came.
+    """A message that another gateway sent with `SendPeerMessage` arrived.
 
     Attributes:
-        sender: That gateway's number.
-        text: What it said.
+        sender: The index of the sending gateway.
+        text: The text of the message.
     """
 
     sender: int
@@ -309,13 +310,13 @@
 
 @dataclass(init=False, slots=True)
 class CounterReply:
-    """An `AddToCounter` has its outcome.
+    """A counter call that `AddToCounter` started has ended.
 
     Attributes:
-        key: The key that was added to.
-        outcome: `OK` if the amount was added; after `TIMEOUT` it may have been.
-        total: With `OK`, what all gateways added under the key, this call's amount included.
-        latency: Seconds since the call was made.
+        key: The counter key of the call.
+        outcome: `OK` if the amount was added; after `TIMEOUT` it may have been added.
+        total: With `OK`, the sum that all gateways added under the key, including this call.
+        latency: Seconds since the call started.
     """
 
     key: int
@@ -334,11 +335,11 @@
 
 @dataclass(init=False, slots=True)
 class FleetShedFraction:
-    """The fleet agreed on how much load to shed.
+    """The fleet agreed on the fraction of load to shed.
 
     Attributes:
-        shed_fraction: From 0 to 1: customers whose shed rank is lower are rejected.
-        until: When it stops to hold, if no other comes before.
+        shed_fraction: From 0 to 1; customers with a lower shed rank are rejected.
+        until: When the fraction expires, unless another event replaces it earlier.
     """
 
     shed_fraction: float
@@ -351,11 +352,11 @@
 
 @dataclass(init=False, slots=True)
 class PeerEjections:
-    """Other gateways found backends down and probe them for all: nothing is to be sent there.
+    """Other gateways found backends down and probe them for the fleet; send nothing to them.
 
     Attributes:
-        backends: Their ids.
-        until: When that stops to hold.
+        backends: The ids of these backends.
+        until: When the ejections expire.
     """
 
     backends: tuple[str, ...]
--- a/ingress/policy/gateway.py
+++ b/ingress/policy/gateway.py
@@ -1,6 +1,7 @@
-"""The policy of one gateway: hands each event to the part that decides on it.
+"""The policy of one gateway: dispatches each event to the component that decides on it.
 
-Plain data in and out: `settings`, `events` and `actions` beside it.  No I/O and no clock.
+Its input and output are the plain data classes of `settings`, `events` and `actions`.  It does no
+I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -38,22 +39,25 @@
 from ingress.policy.timers import CONSISTENCY_TIMER, DISCOVERY_TIMER, TICK_TIMER
 
 TICK_PERIOD_S: Final = 0.25
-"""Between two reports to the counter; no ceiling rests on what is unreported for so long."""
+"""Interval between reports to the counter.  Ceilings never depend on use unreported this long."""
 MIN_REPOLL_SHARE: Final = 0.1
 MAX_REPOLL_SHARE: Final = 0.25
-"""Of the greatest age of the endpoint list: the wait before it is polled again after a failure."""
+"""Bounds of the random delay before a failed poll of the endpoint list is repeated.
+
+Both are shares of the maximum age of the list.
+"""
 
 
 class Gateway:
-    """The decisions of one gateway.
+    """Makes the decisions of one gateway.
 
     Attributes:
-        settings: what it was configured with.
-        actions: what the last event led to, also where it raised an error.
+        settings: The configuration of this gateway.
+        actions: The actions of the last event, even if handling it raised an error.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Sets up all parts; `seed` determines every random draw."""
+        """Creates all components; `seed` determines every random number."""
         self.settings = settings
         self.rng = random.Random(seed)
         self._pending = PendingActions()
@@ -92,14 +96,14 @@
         )
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Returns the actions that an event leads to.
+        """Returns the actions that an event triggers.
 
         Args:
-            now: the time in seconds; it never goes back.
-            event: what happened.
+            now: The time in seconds; it never decreases.
+            event: The event to handle.
 
         Raises:
-            KeyError: a request names a plan or a class that is not configured.
+            KeyError: A request names a plan or a class that is not configured.
         """
         self.actions = self._pending.restart()
         if not self._has_started:
@@ -108,10 +112,10 @@
         return self.actions
 
     def _start(self, now: float) -> None:
-        """Sets the first timers, at drawn moments, since gateways may start together."""
+        """Sets the first timers with random delays, since gateways may start at the same time."""
         self._has_started = True
         self.admission.started_at = now
-        self.counter_throttle.answered_at = now  # the counter is taken to be there, but crowded
+        self.counter_throttle.answered_at = now  # assumes an available, overloaded counter
         self._pending.append(SetTimer(TICK_PERIOD_S * self.rng.random(), TICK_TIMER))
         if self.settings.discovery_polled:
             self._pending.append(WatchBackends())
@@ -143,7 +147,8 @@
 
     def _backends_changed(self, now: float, event: BackendsChanged) -> None:
         self.load_balancer.backends_changed(event, now)
-        # Polls that each led to two more after a failure would flood the discovery service.
+        # At most one poll is scheduled: failed polls that each trigger two more would flood the
+        # discovery service.
         if event.kind is EndpointListKind.UNAVAILABLE and not self._poll_scheduled:
             self._poll_scheduled = True
             share = self.rng.uniform(MIN_REPOLL_SHARE, MAX_REPOLL_SHARE)
@@ -159,7 +164,7 @@
             self._pending.append(WatchBackends())
 
     def _tick(self, now: float) -> None:
-        """Drops idle customers from time to time and reports use that no call has reported."""
+        """Drops idle customers periodically and reports use that no call has reported yet."""
         self._pending.append(SetTimer(TICK_PERIOD_S, TICK_TIMER))
         if now - self._last_sweep_at > CUSTOMER_IDLE_S:
             self._last_sweep_at = now
--- a/ingress/policy/optimistic_admission.py
+++ b/ingress/policy/optimistic_admission.py
@@ -1,4 +1,4 @@
-"""Optimistic admission: whether to admit a request of whose customer too little is known."""
+"""Optimistic admission: decides on requests of customers whose quota use is not known."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from ingress.policy.settings import Plan
 
 MAX_MEAN_LOSS: Final = 0.05
-"""Of the worth admitted: what optimistic admission may cost before it has to be surer."""
+"""Mean loss, as a share of the value admitted, above which a higher probability is required."""
 SMOOTHING: Final = 0.15
 INITIAL_PROBABILITY: Final = 0.5
 
 
 class OptimisticAdmission:
-    """Weighs the loss of admitting beyond the quota against the chance that units are left.
+    """Compares the loss of admitting beyond the quota with the probability that units are left.
 
     Attributes:
-        probability: the admission probability, by plan and by whether the customer returned.
-        mean_loss: the loss by optimistic admission, as a share of the worth admitted.
+        probability: The probability that units are left, by plan name and by whether the customer
+            is returning.
+        mean_loss: The mean loss by optimistic admission, as a share of the value admitted.
     """
 
     def __init__(self, plans: tuple[Plan, ...], throttle: CounterThrottle) -> None:
@@ -31,28 +32,29 @@
         self.mean_loss = 0.0
 
     def expected_loss(self, now: float, customer: Customer) -> float:
-        """Returns the loss on the mean if a request is admitted; below zero it does not pay.
+        """Returns the expected loss if a request is admitted; below zero, reject it.
 
-        Admissions that each pay alone add up beyond the quotas.  So the more they have cost
-        recently, the surer the next has to be.  While the counter answers nothing, no returning
-        customer could be asked about, and nothing is held against the next admission.
+        Admissions that are each worthwhile may together exceed the quotas.  The greater their
+        recent loss, the higher the probability that the next one requires.  While the counter does
+        not answer, it can't be called about returning customers: all count as new, recent losses
+        are ignored, and the returned loss is 0.
         """
         answering = self._throttle.is_answering(now)
         returning = answering and customer.is_returning(now)
         probability = self.probability[customer.plan.name, returning]
         loss = (1 - probability) * customer.plan.over_quota_cost
-        caution = max(1.0, self.mean_loss / MAX_MEAN_LOSS) if answering else 1.0
-        if loss * caution >= probability:
+        loss_factor = max(1.0, self.mean_loss / MAX_MEAN_LOSS) if answering else 1.0
+        if loss * loss_factor >= probability:
             return -1.0
         return loss if answering else 0.0
 
     def total_received(self, plan: Plan, returning: bool, units_left: bool) -> None:
-        """Takes into the probability whether a counter call showed units left for a request."""
+        """Updates the probability by whether a counter total showed units left for a request."""
         probability = self.probability[plan.name, returning]
         self.probability[plan.name, returning] = probability + SMOOTHING / 4 * (
             units_left - probability
         )
 
     def request_forwarded(self, expected_loss: float) -> None:
-        """Takes the expected loss of a request that is forwarded into the mean."""
+        """Updates the mean loss with the expected loss of a forwarded request."""
         self.mean_loss += SMOOTHING / 16 * (expected_loss - self.mean_loss)
--- a/ingress/policy/pending_actions.py
+++ b/ingress/policy/pending_actions.py
@@ -1,4 +1,4 @@
-"""The actions that one event leads to, gathered from all parts of the policy."""
+"""Collects the actions that one event triggers in all components of the policy."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class PendingActions:
-    """A list of actions that the parts of one gateway share."""
+    """A list of actions that the components of one gateway share."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
 
     def restart(self) -> list[Action]:
-        """Begins and returns a new list; the former one belongs to whoever got it."""
+        """Starts and returns a new list; the receiver of the previous list keeps it."""
         self.actions = []
         return self.actions
 
     def append(self, action: Action) -> None:
-        """Adds an action behind those that the event has led to so far."""
+        """Appends an action to those that the event has triggered so far."""
         self.actions.append(action)
--- a/ingress/policy/request_cost.py
+++ b/ingress/policy/request_cost.py
@@ -1,4 +1,4 @@
-"""What requests cost on the mean: latencies by request class, units and work."""
+"""Mean cost of requests: latency by request class, units and relative work."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 SMOOTHING: Final = 0.15
 SAMPLE_WEIGHT: Final = SMOOTHING / 4
-"""Weight of a new sample in a running mean."""
-FIRST_LATENCY_SHARE: Final = 8
-"""Before any response a class is taken to need its latency objective divided by this."""
+"""Weight of a new sample in an exponential moving average."""
+INITIAL_LATENCY_DIVISOR: Final = 8
+"""A class's latency objective divided by this is its mean latency before its first response."""
 
 
 class RequestCost:
-    """Running means of what requests cost.
+    """Moving averages of the cost of requests.
 
     Attributes:
-        mean_latencies: seconds by the name of the request class, in order of the first response.
-        mean_units: units of a request.
-        longest_objective: seconds; the longest latency objective of all classes.
+        mean_latencies: Mean latency in seconds by request class name, in order of the first
+            response.
+        mean_units: Mean units of a request.
+        longest_objective: The longest latency objective of all classes, in seconds.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -30,8 +31,8 @@
         self._tick_interval = settings.tick_interval
 
     def mean_latency(self, request_class: RequestClass) -> float:
-        """Returns the seconds that a response of the class takes on the mean."""
-        default = request_class.latency_objective / FIRST_LATENCY_SHARE
+        """Returns the mean latency of the class, in seconds."""
+        default = request_class.latency_objective / INITIAL_LATENCY_DIVISOR
         return max(self.mean_latencies.get(request_class.name, default), self._tick_interval)
 
     def slowest_mean_latency(self) -> float:
@@ -39,17 +40,17 @@
         return max(self.mean_latencies.values(), default=self.longest_objective)
 
     def response_received(self, request_class: RequestClass, latency: float) -> None:
-        """Takes the latency of a response into the mean of its class."""
+        """Updates the mean latency of a class with the latency of a response, in seconds."""
         mean = self.mean_latencies.setdefault(request_class.name, latency)
         sample = min(latency, request_class.latency_objective)
         self.mean_latencies[request_class.name] = mean + SAMPLE_WEIGHT * (sample - mean)
 
     def request_weighed(self, units: float) -> None:
-        """Takes the units of a request into their mean."""
+        """Updates the mean units with the units of a request."""
         self.mean_units += (units - self.mean_units) * SMOOTHING / 4
 
     def relative_work(self, request: RequestState) -> float:
-        """Returns how much work a request likely brings, as a multiple of the mean request's."""
+        """Returns the expected work of a request as a multiple of the mean request's work."""
         means = list(self.mean_latencies.values()) or [self.mean_latency(request.request_class)]
         return (
             self.mean_latency(request.request_class)
--- a/ingress/policy/request_state.py
+++ b/ingress/policy/request_state.py
@@ -1,4 +1,4 @@
-"""One request that this gateway owes a response, and its attempts."""
+"""State of one request that this gateway has to answer, and of its attempts."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class RequestState:
-    """A request that this gateway owes a response.
+    """A request that this gateway has to answer.
 
     Attributes:
-        deadline: seconds of the policy's clock.
-        within_quota: its units were taken from the quota slice.
-        forwarded: its first attempt was started.
-        units_counted: its units are in the customer's unreported use already.
-        finished: the final response was given, or the client disconnected.
-        past_objective: it can't be answered within its latency objective any more.
-        expected_loss: share of its worth that is lost on the mean, where it was admitted
-            optimistically.
-        attempts: all attempts in order.
-        attempts_in_flight: those without an outcome, by number.
-        attempts_possibly_run: those without an outcome or whose backend may have run the request.
+        deadline: Time of the policy's clock, in seconds.
+        within_quota: Whether its units are charged to the customer's quota.
+        forwarded: Whether its first attempt was started.
+        units_counted: Whether the customer's unreported use already includes its units.
+        finished: Whether the final response was given or the client disconnected.
+        past_objective: Whether it can no longer be answered within its latency objective.
+        expected_loss: Expected loss of an optimistic admission, as a share of the request's value.
+        attempts: All attempts in order.
+        attempts_in_flight: Attempts without an outcome, by number.
+        attempts_possibly_run: Attempts that have no outcome, or whose backend may have run the
+            request.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         self.attempts_possibly_run: list[SentAttempt] = []
 
     def may_reject(self) -> bool:
-        """Returns whether a rejection is true: it tells the client that a retry is harmless."""
+        """Returns whether a rejection is correct: it tells the client that a retry is harmless."""
         return (
             self.request_class.semantics is RetrySemantics.IDEMPOTENT
             or not self.attempts_possibly_run
         )
 
     def may_attempt(self, target: BackendState, now: float, settings: Settings) -> bool:
-        """Returns whether one more attempt at `target` can't make the request take effect twice."""
+        """Returns whether an attempt at `target` is allowed and can't cause a second effect."""
         if len(self.attempts) >= settings.max_attempts:
             return False
         if self.attempts_in_flight and not settings.hedging_allowed:
@@ -79,11 +79,11 @@
             return True
         if self.request_class.semantics is RetrySemantics.NON_IDEMPOTENT:
             return False
-        written_by = now + settings.tick_interval + MAX_HOLD_UP_S
-        return self._is_deduplicated(target.backend, written_by)
+        latest_write_at = now + settings.tick_interval + MAX_HOLD_UP_S
+        return self._is_deduplicated(target.backend, latest_write_at)
 
     def _is_deduplicated(self, backend: Backend, arrives_at: float) -> bool:
-        """Returns whether the backend still knows the key of each attempt that may have run."""
+        """Returns whether the backend still holds the key of each attempt that may have run."""
         scope = self.request_class.deduplication_scope
         window = self.request_class.deduplication_window
         return all(
@@ -102,7 +102,7 @@
 
 
 class SentAttempt:
-    """One attempt of a request: where it was sent and when, in seconds."""
+    """One attempt of a request, its target backend and its start time in seconds."""
 
     __slots__ = ("request", "sent_at", "target")
 
--- a/ingress/policy/request_table.py
+++ b/ingress/policy/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that this gateway owes a response, and the responses that it gives itself."""
+"""Table of unfinished requests; also ends requests with responses of the gateway itself."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RequestTable:
-    """The unfinished requests.
+    """Holds the unfinished requests.
 
     Attributes:
-        by_id: unfinished requests by their id.
+        by_id: Unfinished requests by id.
     """
 
     def __init__(
@@ -25,16 +25,16 @@
         self.by_id: dict[str, RequestState] = {}
 
     def add(self, request: RequestState) -> None:
-        """Adds a request that arrived."""
+        """Adds a new request."""
         self.by_id[request.request_id] = request
 
     def complete(self, request: RequestState) -> None:
-        """Removes a request that was answered, or is not waited for."""
+        """Removes a request that was answered or whose client no longer waits."""
         request.finished = True
         self.by_id.pop(request.request_id, None)
 
     def reject_or_fail(self, now: float, request: RequestState) -> None:
-        """Gives the final response: a rejection if a retry is harmless, else a failure."""
+        """Ends a request with a rejection if a retry is harmless, or else with a failure."""
         request.finished = True
         self._quota_reporter.return_units(now, request)
         self.by_id.pop(request.request_id, None)
@@ -45,22 +45,23 @@
             self._actions.append(FailRequest(request.request_id))
 
     def _retry_after(self, request: RequestState) -> float:
-        """Returns the seconds in which the whole quota gains the request's units.
+        """Returns the seconds in which the whole quota refills by the request's units.
 
-        The client may come back through another gateway, so the slice's own rate does not count.
+        The client may retry at another gateway, so the refill rate of this gateway's slice does not
+        matter.  0 means that no delay is suggested.
         """
         if request.plan.rate and self._retry_after_allowed:
             return request.units / request.plan.rate
         return 0.0
 
     def client_disconnected(self, request_id: str) -> None:
-        """Forgets a request that nobody waits for any more."""
+        """Removes a request whose client disconnected."""
         request = self.by_id.pop(request_id, None)
         if request is not None:
             request.finished = True
 
     def response_started(self, request_id: str) -> None:
-        """Lifts the deadline of a request whose response is being streamed."""
+        """Removes the deadline of a request whose response is being streamed."""
         request = self.by_id.get(request_id)
         if request is not None:
             request.deadline = float("inf")
--- a/ingress/policy/retry_policy.py
+++ b/ingress/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: their budget, when one is of use, and the timeout of an attempt before one."""
+"""Retry policy: the retry budget, whether a retry is useful, and attempt timeouts."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ingress.policy.token_bucket import TokenBucket
 
 RETRY_BUDGET_RATIO: Final = 0.15
-"""Retries for each first attempt, on the mean."""
+"""Mean number of retries allowed for each first attempt."""
 MAX_RETRY_BUDGET: Final = 10.0
 INITIAL_RETRY_BUDGET: Final = 1.0
-LOST_LATENCIES: Final = 8.0
-"""Mean latencies after which an attempt may be lost, if `LOST_OBJECTIVE_SHARE` has passed too."""
-LOST_OBJECTIVE_SHARE: Final = 0.7
-"""Of the latency objective."""
+LOST_AFTER_LATENCIES: Final = 8.0
+"""Time after which an attempt may be lost, in mean latencies of its class."""
+LOST_AFTER_OBJECTIVE_SHARE: Final = 0.7
+"""Share of the latency objective that must pass as well before an attempt may be lost."""
 MIN_TIMEOUT_S: Final = 1e-6
 
 
@@ -25,7 +25,7 @@
     """Decides on retries.
 
     Attributes:
-        budget: the retries that may go; each first attempt adds a part of one.
+        budget: The number of retries allowed; each first attempt adds `RETRY_BUDGET_RATIO`.
     """
 
     def __init__(self, settings: Settings, cost: RequestCost, load_shedder: LoadShedder) -> None:
@@ -35,7 +35,7 @@
         self.budget = TokenBucket(0.0, MAX_RETRY_BUDGET, INITIAL_RETRY_BUDGET, 0.0)
 
     def request_forwarded(self) -> None:
-        """Adds to the budget what a first attempt brings."""
+        """Adds the share of a first attempt to the retry budget."""
         self.budget.level = min(self.budget.capacity, self.budget.level + RETRY_BUDGET_RATIO)
 
     def is_useful(self, now: float, request: RequestState) -> bool:
@@ -43,24 +43,24 @@
         return now + self._cost.mean_latency(request.request_class) < request.deadline
 
     def has_budget(self, now: float) -> bool:
-        """Returns whether a retry may go: retries on top of an overload would make it worse."""
+        """Returns whether a retry is affordable: more retries would aggravate an overload."""
         return self.budget.level >= 1 and self._load_shedder.pressure(now) < 0
 
     def retry_started(self) -> None:
-        """Takes a retry off the budget."""
+        """Deducts a retry from the budget."""
         self.budget.level -= 1.0
 
     def attempt_timeout(self, now: float, request: RequestState) -> float:
-        """Returns the seconds after which the newest attempt is given up.
+        """Returns the timeout of the newest attempt, in seconds.
 
-        A connection that fell silent would hold the request to its deadline.  While a retry may
-        still follow, the attempt is given up well past what responses take.
+        An unresponsive connection would delay the request until its deadline.  If a retry can still
+        follow, the attempt therefore times out earlier, well after the usual latency of a response.
         """
         request_class = request.request_class
         time_left = request.deadline - now
         lost_after = max(
-            LOST_LATENCIES * self._cost.mean_latency(request_class),
-            LOST_OBJECTIVE_SHARE * request_class.latency_objective,
+            LOST_AFTER_LATENCIES * self._cost.mean_latency(request_class),
+            LOST_AFTER_OBJECTIVE_SHARE * request_class.latency_objective,
         )
         may_retry = (
             request_class.semantics is not RetrySemantics.NON_IDEMPOTENT
--- a/ingress/policy/settings.py
+++ b/ingress/policy/settings.py
@@ -1,6 +1,7 @@
-"""What a gateway is configured with: request classes, plans and limits of the deployment.
+"""Configuration of a gateway: request classes, plans and limits of the deployment.
 
-Times are seconds, rates are units per second.  A limit of 0 is none where nothing else is said.
+Times are in seconds, rates in units per second.  Unless documented otherwise, a limit of 0 means no
+limit.
 """
 
 from __future__ import annotations
@@ -11,50 +12,50 @@
 from typing import Final
 
 MAX_HOLD_UP_S: Final = 0.15
-"""For which the process may be held up between reading its clock and acting on it."""
+"""Longest pause of the process between reading its clock and acting on the time."""
 
 
 class RetrySemantics(Enum):
-    """How often a request of a class may take effect."""
+    """How many times a request of a class may take effect."""
 
     IDEMPOTENT = "idempotent"
-    """It may run any number of times."""
+    """A request may run any number of times."""
     IDEMPOTENCY_KEY = "idempotency_key"
-    """Backends that share a memory of its key run it once."""
+    """Backends that share a store of idempotency keys run a request once."""
     NON_IDEMPOTENT = "non_idempotent"
-    """It may run once at most."""
+    """A request may run at most once."""
 
 
 class DeduplicationScope(Enum):
-    """Which backends share one memory of idempotency keys."""
+    """Which backends share one store of idempotency keys."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-def _require_at_least(minimum: float, owner: str, **figures: float) -> None:
-    """Raises ValueError for the first figure that is not finite or is below `minimum`."""
-    for key, value in figures.items():
+def _require_at_least(minimum: float, prefix: str, **values: float) -> None:
+    """Raises ValueError for the first value that is not finite or is below `minimum`."""
+    for key, value in values.items():
         if not minimum <= value < inf:
-            raise ValueError(f"{owner}{key}: {value!r} is not a finite number from {minimum:g} up")
+            raise ValueError(f"{prefix}{key}: {value!r} is not a finite number >= {minimum:g}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: what a response is worth, by when, and how often it may take effect.
+    """A class of requests: the value of a response, its time limits and the retry semantics.
 
     Attributes:
-        name: How requests refer to the class.
+        name: The name by which requests refer to the class.
         latency_objective: The time in seconds within which a response has its full value.
-        deadline: The time in seconds after which clients wait no more.
-        priority_weight: What a response within the objective is worth.
-        late_priority_weight: The share of that which a response past the objective still has.
-        semantics: How often a request may take effect.
-        deduplication_scope: With an idempotency key, the backends that share one memory of it.
-        deduplication_window: With an idempotency key, the seconds for which a backend knows it.
-        objective_stretch: Multiple of a request's own work by which its objective is longer.
-        streaming: Whether a response comes in parts.
+        deadline: The time in seconds after which clients stop waiting.
+        priority_weight: The value of a response within the objective.
+        late_priority_weight: The share of this value that a response past the objective still has.
+        semantics: How many times a request may take effect.
+        deduplication_scope: With an idempotency key, the backends that share one store of keys.
+        deduplication_window: With an idempotency key, the seconds for which a backend stores it.
+        objective_stretch: Multiple of a request's own work that is added to its objective.
+        streaming: Whether responses arrive in parts.
     """
 
     name: str
@@ -83,19 +84,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What customers of one contract may use, over all gateways, and what it is worth.
+    """Limits that one plan sets for each of its customers across all gateways, and its value.
 
     Attributes:
-        name: How requests refer to the plan.
-        rate: Units per second that flow into a customer's quota; 0 for no quota.
-        burst: Units that the quota holds at most.
-        max_concurrent: Attempts of one customer in flight; 0 for any number.
-        price: Factor on the priority weight of its requests.
+        name: The name by which requests refer to the plan.
+        rate: Refill rate of a customer's quota, in units per second; 0 for no quota.
+        burst: Capacity of the quota, in units.
+        max_concurrent: Maximum attempts of one customer in flight; 0 for no limit.
+        price: Factor applied to the priority weight of its requests.
         over_quota_weight: Share of its weight that a request beyond the quota still has.
-        over_quota_cost: Share of its weight that forwarding one beyond the quota costs.
-        ceiling_rate: Units per second that flow into the hard limit; 0 for none.
-        ceiling_burst: Units that the hard limit holds at most.
-        ceiling_slack: Units by which the hard limit may be overdrawn.
+        over_quota_cost: Cost of forwarding a request beyond the quota, as a share of its weight.
+        ceiling_rate: Refill rate of the hard limit, in units per second; 0 for no hard limit.
+        ceiling_burst: Capacity of the hard limit, in units.
+        ceiling_slack: Units by which the hard limit may be exceeded.
     """
 
     name: str
@@ -127,35 +128,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a gateway is told at its start.
+    """Settings that a gateway receives at its start.
 
     Attributes:
         classes: The request classes, at least one.
         plans: The plans, at least one.
-        gateway_index: This gateway's number, from 0.
-        gateway_count: How many gateways there are.
+        gateway_index: This gateway's index, from 0.
+        gateway_count: The number of gateways.
         zone: The failure domain of this gateway.
-        tick_interval: The shortest time in seconds between two events.
-        response_slack: Seconds past its deadline in which a final response still counts.
-        drain_grace: Seconds in which a draining or removed backend may still be sent to.
-        warmup_time: Seconds after which a started backend has its full capacity.
+        tick_interval: The minimum time between two events, in seconds.
+        response_slack: Seconds after its deadline in which a final response still counts.
+        drain_grace: Seconds in which a draining or removed backend may still receive requests.
+        warmup_time: Seconds until a started backend has its full capacity.
         cold_capacity: The share of its capacity that a backend starts with.
-        collapse_factor: The multiple of its capacity at which a warming backend collapses.
-        collapse_window: Seconds that such a load must last for it.
+        collapse_factor: The load, as a multiple of its capacity, at which a warming backend
+            collapses.
+        collapse_window: Seconds for which such a load must last to cause a collapse.
         discovery_max_age: With polled discovery, the seconds for which an endpoint list is current.
-        discovery_polled: Whether the endpoint list has to be fetched; else changes are pushed.
-        max_attempts: Attempts that a request may have.
-        hedging_allowed: Whether several attempts of a request may be in flight together.
+        discovery_polled: Whether the endpoint list has to be fetched; otherwise, changes are
+            pushed.
+        max_attempts: Maximum number of attempts of a request.
+        hedging_allowed: Whether several attempts of a request may be in flight at the same time.
         cancellation_allowed: Whether attempts in flight may be cancelled.
         probing_allowed: Whether health checks may be sent to backends.
-        peer_messages_allowed: Whether gateways may send messages to one another.
-        peer_message_rate: Messages per second that a gateway receives at most.
-        counter_available: Whether there is a counter that all gateways share.
-        counter_timeout: Seconds after which a counter call has failed.
-        meter_period: Seconds over which backends meter a customer's use; 0 for no meter.
-        units_settled_later: Whether a request's true units come with its response.
-        max_units: Units that one request may have.
-        retry_after_allowed: Whether a rejection may tell clients when to come back.
+        peer_messages_allowed: Whether gateways may send messages to each other.
+        peer_message_rate: Maximum number of messages that a gateway receives per second.
+        counter_available: Whether a counter that all gateways share is available.
+        counter_timeout: Seconds after which a counter call fails.
+        meter_period: Seconds over which backends meter a customer's use; 0 for no metering.
+        units_settled_later: Whether the actual units of a request arrive with its response.
+        max_units: Maximum units of one request.
+        retry_after_allowed: Whether a rejection may tell clients when to retry.
     """
 
     classes: tuple[RequestClass, ...]
@@ -187,9 +190,9 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one is required")
         if not self.plans:
-            raise ValueError("plans: at least one is needed")
+            raise ValueError("plans: at least one is required")
         _require_at_least(
             0,
             "",
@@ -214,7 +217,7 @@
         )
 
     def identity(self) -> tuple[tuple[tuple[str, str], ...], tuple[str, ...]]:
-        """Returns what a reload may not change: plans, and classes with their semantics."""
+        """Returns the plans and classes with their semantics, which a reload may not change."""
         classes = tuple((cls.name, cls.semantics.value) for cls in self.classes)
         plans = tuple(plan.name for plan in self.plans)
         return classes, plans
--- a/ingress/policy/timers.py
+++ b/ingress/policy/timers.py
@@ -1,12 +1,12 @@
-"""Tokens by which the policy tells its timers apart."""
+"""Tokens that identify the policy's timers."""
 
 from __future__ import annotations
 
 from typing import Final
 
 TICK_TIMER: Final = 0
-"""Reports use to the counter and drops idle customers."""
+"""Triggers reports of use to the counter and drops idle customers."""
 DISCOVERY_TIMER: Final = 1
-"""Polls the endpoint list after a failed poll."""
+"""Triggers a poll of the endpoint list after a failed poll."""
 CONSISTENCY_TIMER: Final = 2
-"""Adds to the next counter key of the consistency check."""
+"""Triggers the next addition to a counter key of the consistency check."""
