--- a/ingress/policy/attempt_dispatcher.py
+++ b/ingress/policy/attempt_dispatcher.py
@@ -139,7 +139,7 @@
         outlier_detection.record_failure(target, now, event.outcome, self._cost.longest_objective)
 
     def _retry_or_finish(self, now: float, request: RequestState, never_reached: bool) -> None:
-        """Retries the request if that is useful, or gives its final response.
+        """Retries the request if that is useful, or sends its final response.
 
         Retries require a retry budget and spare capacity.  A retry after an attempt that reached no
         backend is exempt, since no backend has spent any work on it.
--- a/ingress/policy/retry_policy.py
+++ b/ingress/policy/retry_policy.py
@@ -35,7 +35,7 @@
         self.budget = TokenBucket(0.0, MAX_RETRY_BUDGET, INITIAL_RETRY_BUDGET, 0.0)
 
     def request_forwarded(self) -> None:
-        """Adds the share of a first attempt to the retry budget."""
+        """Adds `RETRY_BUDGET_RATIO` to the budget for a first attempt."""
         self.budget.level = min(self.budget.capacity, self.budget.level + RETRY_BUDGET_RATIO)
 
     def is_useful(self, now: float, request: RequestState) -> bool:
@@ -43,7 +43,7 @@
         return now + self._cost.mean_latency(request.request_class) < request.deadline
 
     def has_budget(self, now: float) -> bool:
-        """Returns whether a retry is affordable: more retries would aggravate an overload."""
+        """Returns whether a retry may start: retries during an overload would make it worse."""
         return self.budget.level >= 1 and self._load_shedder.pressure(now) < 0
 
     def retry_started(self) -> None:
--- a/ingress/policy/settings.py
+++ b/ingress/policy/settings.py
@@ -38,7 +38,9 @@
     """Raises ValueError for the first value that is not finite or is below `minimum`."""
     for key, value in values.items():
         if not minimum <= value < inf:
-            raise ValueError(f"{prefix}{key}: {value!r} is not a finite number >= {minimum:g}")
+            raise ValueError(
+                f"{prefix}{key}: {value!r} is not a finite number (minimum: {minimum:g})"
+            )
 
 
 @dataclass(frozen=True, slots=True)
