--- a/tests/staged.py
+++ b/tests/staged.py
@@ -1,7 +1,7 @@
-"""A gateway played through drawn faults, to compare two forms of the decisions.
+"""Simulation of one gateway under random faults, to compare the decisions of two builds.
 
-The modules are parameters: the same play is given to today's sources, to their compiled form and,
-by the digests that tests/test_decisions.py keeps, to the sources of the day when these were taken.
+The policy's modules are parameters, so that the same simulation runs on the current sources and on
+their compiled form.  tests/test_decisions.py compares it with recorded digests of earlier sources.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from dataclasses import fields
 from typing import Any
 
-# The digests were taken when actions had these names.
+# Names of the actions at the time when the digests were recorded.
 RECORDED_NAMES = {
     "StartAttempt": "Send",
     "CancelAttempt": "Cancel",
@@ -29,14 +29,16 @@
 
 
 class Stage:
-    """One gateway with backends, clients and a counter that are drawn from a seed.
+    """One gateway with random backends, clients and a random counter; a seed determines them.
 
-    `api` holds the policy's plain data and `logic` the module with `Gateway`, in the form to be
-    played; `lines` are the actions as text, `seen` counts what came about.
+    Attributes:
+        api: The namespace of the policy's plain data classes, in the form under test.
+        lines: The gateway's actions as text.
+        seen: The number of actions, outcomes and endpoint list changes, by kind.
     """
 
     def __init__(
-        self, api: Any, logic: Any, seed: int, seconds: float = 12.0, rate: float = 60.0
+        self, api: Any, gateway_module: Any, seed: int, seconds: float = 12.0, rate: float = 60.0
     ) -> None:
         self.api, self.rng, self.seconds, self.rate = api, random.Random(seed), seconds, rate
         rng = self.rng
@@ -87,18 +89,18 @@
             peer_message_rate=20.0,
             max_units=3.0,
         )
-        self.now, self.count, self.order = 1000.0, 0, 0
-        self.servers = [self.backend(f"s{n:03}") for n in range(rng.choice((3, 9, 40)))]
-        self.pace = {s.id: rng.uniform(0.05, 0.3) for s in self.servers}
-        self.gateway = logic.Gateway(self.settings, seed)
-        self.waiting: list[tuple[float, int, str, Any]] = []
-        self.open: dict[str, float] = {}
-        self.tries: Counter[str] = Counter()
-        self.totals: Counter[int] = Counter()
+        self.now, self.request_count, self.sequence = 1000.0, 0, 0
+        self.backends = [self.new_backend(f"s{n:03}") for n in range(rng.choice((3, 9, 40)))]
+        self.mean_latencies = {b.id: rng.uniform(0.05, 0.3) for b in self.backends}
+        self.gateway = gateway_module.Gateway(self.settings, seed)
+        self.event_queue: list[tuple[float, int, str, Any]] = []
+        self.deadlines: dict[str, float] = {}
+        self.attempt_counts: Counter[str] = Counter()
+        self.counter_totals: Counter[int] = Counter()
         self.seen: Counter[str] = Counter()
         self.lines: list[str] = []
 
-    def backend(self, name: str, started: float = 0.0, readiness: Any = None) -> Any:
+    def new_backend(self, name: str, started_at: float = 0.0, readiness: Any = None) -> Any:
         rng = self.rng
         return self.api.Backend(
             name,
@@ -107,129 +109,139 @@
             rng.randrange(1, 4),
             readiness or self.api.Readiness.READY,
             rng.choice((1.0, 1.0, 2.0)),
-            started,
+            started_at,
         )
 
-    def later(self, delay: float, kind: str, what: Any = None) -> None:
-        self.order += 1
-        heapq.heappush(self.waiting, (self.now + delay, self.order, kind, what))
+    def schedule(self, delay: float, kind: str, event: Any = None) -> None:
+        self.sequence += 1
+        heapq.heappush(self.event_queue, (self.now + delay, self.sequence, kind, event))
 
     def play(self) -> str:
-        """Plays to the end; the digest of all actions."""
-        self.feed(
-            self.api.BackendsChanged(self.api.EndpointListKind.RESTORED, tuple(self.servers), 1)
+        """Runs the simulation to its end and returns a digest of all actions."""
+        self.deliver(
+            self.api.BackendsChanged(self.api.EndpointListKind.RESTORED, tuple(self.backends), 1)
         )
-        self.later(0.0, "ask")
+        self.schedule(0.0, "send_request")
         for _ in range(self.rng.randrange(2, 8)):
-            self.later(
-                self.rng.uniform(0.0, self.seconds), self.rng.choice(("list", "slow", "surge"))
+            self.schedule(
+                self.rng.uniform(0.0, self.seconds),
+                self.rng.choice(
+                    ("change_endpoint_list", "slow_backend_down", "change_request_rate")
+                ),
             )
         end = self.now + self.seconds
-        while self.waiting:
-            self.now, _, kind, what = heapq.heappop(self.waiting)
+        while self.event_queue:
+            self.now, _, kind, event = heapq.heappop(self.event_queue)
             if self.now > end + 8.0 or (kind != "event" and self.now > end):
                 continue
             if kind == "event":
-                self.feed(what)
+                self.deliver(event)
             else:
                 getattr(self, kind)()
         return hashlib.sha256("\n".join(self.lines).encode()).hexdigest()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         rng, api = self.rng, self.api
-        self.later(rng.expovariate(self.rate), "ask")
-        self.count += 1
+        self.schedule(rng.expovariate(self.rate), "send_request")
+        self.request_count += 1
         cls, plan = rng.choice(self.classes), rng.choice(self.plans)
-        name, wait = f"r{self.count}", cls.deadline * rng.choice((1.0, 1.0, 0.5))
+        request_id, time_left = f"r{self.request_count}", cls.deadline * rng.choice((1.0, 1.0, 0.5))
         number = int(rng.paretovariate(0.8)) % 40
-        spread = 1 + number % self.settings.gateway_count
-        self.open[name] = self.now + wait
-        self.feed(
+        customer_gateways = 1 + number % self.settings.gateway_count
+        self.deadlines[request_id] = self.now + time_left
+        self.deliver(
             api.RequestReceived(
-                name,
+                request_id,
                 cls.name,
                 plan.name,
                 f"{plan.name}-{number}",
-                wait,
+                time_left,
                 float(rng.choice((1, 1, 2, 3))),
-                spread,
+                customer_gateways,
                 0,
                 rng.random() < 0.1,
                 cls.semantics is not api.RetrySemantics.IDEMPOTENT,
             )
         )
         if rng.random() < 0.03:
-            self.later(rng.uniform(0.0, wait), "event", api.ClientDisconnected(name))
+            self.schedule(rng.uniform(0.0, time_left), "event", api.ClientDisconnected(request_id))
 
-    def list(self) -> None:
-        """A server drains, goes, starts anew or comes."""
+    def change_endpoint_list(self) -> None:
+        """Drains, removes, restarts or adds a backend."""
         rng, api = self.rng, self.api
-        how, at = rng.choice(("drain", "gone", "restart", "new")), rng.randrange(len(self.servers))
-        self.seen[how] += 1
-        old = self.servers[at]
-        if how == "new":
-            info = self.backend(f"n{self.order:03}", self.now)
-            self.servers.append(info)
-            self.pace[info.id] = 0.15
+        change, index = (
+            rng.choice(("drain", "gone", "restart", "new")),
+            rng.randrange(len(self.backends)),
+        )
+        self.seen[change] += 1
+        previous = self.backends[index]
+        if change == "new":
+            entry = self.new_backend(f"n{self.sequence:03}", self.now)
+            self.backends.append(entry)
+            self.mean_latencies[entry.id] = 0.15
         else:
-            state = {"drain": api.Readiness.DRAINING, "gone": api.Readiness.REMOVED}.get(how)
-            started = self.now if how == "restart" else old.started_at
-            info = self.servers[at] = self.backend(old.id, started, state)
-        self.feed(api.BackendsChanged(api.EndpointListKind.UPDATE, (info,), 2 + self.order))
+            readiness = {"drain": api.Readiness.DRAINING, "gone": api.Readiness.REMOVED}.get(change)
+            start_time = self.now if change == "restart" else previous.started_at
+            entry = self.backends[index] = self.new_backend(previous.id, start_time, readiness)
+        self.deliver(api.BackendsChanged(api.EndpointListKind.UPDATE, (entry,), 2 + self.sequence))
 
-    def slow(self) -> None:
-        self.pace[self.rng.choice(self.servers).id] *= 12.0
+    def slow_backend_down(self) -> None:
+        self.mean_latencies[self.rng.choice(self.backends).id] *= 12.0
 
-    def surge(self) -> None:
+    def change_request_rate(self) -> None:
         self.rate *= self.rng.choice((0.4, 3.0))
 
-    def feed(self, event: Any) -> None:
+    def deliver(self, event: Any) -> None:
         api = self.api
         for action in self.gateway.handle(self.now, event):
             name = type(action).__name__
             self.seen[name] += 1
             values = (getattr(action, field.name) for field in fields(action))
-            shown = " ".join(f"{v:.9g}" if isinstance(v, float) else str(v) for v in values)
-            self.lines.append(f"{self.now:.6f} {RECORDED_NAMES.get(name, name)} {shown}")
+            text = " ".join(f"{v:.9g}" if isinstance(v, float) else str(v) for v in values)
+            self.lines.append(f"{self.now:.6f} {RECORDED_NAMES.get(name, name)} {text}")
             if isinstance(action, api.StartAttempt):
-                self.attempt(action)
+                self.schedule_outcome(action)
             elif isinstance(action, api.RejectRequest | api.FailRequest):
-                self.open.pop(action.request_id, None)
+                self.deadlines.pop(action.request_id, None)
             elif isinstance(action, api.SetTimer):
-                self.later(max(action.delay, 0.001), "event", api.TimerFired(action.token))
+                self.schedule(max(action.delay, 0.001), "event", api.TimerFired(action.token))
             elif isinstance(action, api.AddToCounter):
-                self.counted(action)
+                self.schedule_counter_reply(action)
 
-    def attempt(self, action: Any) -> None:
+    def schedule_outcome(self, action: Any) -> None:
         rng, api = self.rng, self.api
-        number = self.tries[action.request_id]
-        self.tries[action.request_id] += 1
-        took = rng.expovariate(1.0 / self.pace[action.backend])
-        how = rng.choices(
+        number = self.attempt_counts[action.request_id]
+        self.attempt_counts[action.request_id] += 1
+        latency = rng.expovariate(1.0 / self.mean_latencies[action.backend])
+        outcome = rng.choices(
             ("OK", "ERROR", "OVERLOADED", "CONNECT_FAILED", "RESET", "CANCELLED"),
             (90, 3, 3, 2, 1.5, 0.5),
         )[0]
-        if how in ("OVERLOADED", "CONNECT_FAILED"):
-            took = 0.002
-        if took >= action.timeout:
-            took, how = action.timeout, "TIMEOUT"
-        self.seen[how] += 1
-        finished = how == "OK" or self.now + took > self.open.get(action.request_id, 0.0)
-        self.later(
-            took,
+        if outcome in ("OVERLOADED", "CONNECT_FAILED"):
+            latency = 0.002
+        if latency >= action.timeout:
+            latency, outcome = action.timeout, "TIMEOUT"
+        self.seen[outcome] += 1
+        finished = outcome == "OK" or self.now + latency > self.deadlines.get(
+            action.request_id, 0.0
+        )
+        self.schedule(
+            latency,
             "event",
             api.AttemptEnded(
-                action.request_id, number, action.backend, api.Outcome[how], took, finished
+                action.request_id, number, action.backend, api.Outcome[outcome], latency, finished
             ),
         )
 
-    def counted(self, action: Any) -> None:
+    def schedule_counter_reply(self, action: Any) -> None:
         rng, api = self.rng, self.api
-        how = rng.choices(("OK", "TIMEOUT", "OVERLOADED"), (90, 6, 4))[0]
-        self.totals[action.key] += (
-            (action.amount + rng.choice((0, 0, 1))) if how != "OVERLOADED" else 0
+        outcome = rng.choices(("OK", "TIMEOUT", "OVERLOADED"), (90, 6, 4))[0]
+        self.counter_totals[action.key] += (
+            (action.amount + rng.choice((0, 0, 1))) if outcome != "OVERLOADED" else 0
+        )
+        latency = 0.08 if outcome == "TIMEOUT" else rng.uniform(0.001, 0.06)
+        self.seen[f"count {outcome}"] += 1
+        total = float(self.counter_totals[action.key]) if outcome == "OK" else 0.0
+        self.schedule(
+            latency, "event", api.CounterReply(action.key, api.Outcome[outcome], total, latency)
         )
-        took = 0.08 if how == "TIMEOUT" else rng.uniform(0.001, 0.06)
-        self.seen[f"count {how}"] += 1
-        total = float(self.totals[action.key]) if how == "OK" else 0.0
-        self.later(took, "event", api.CounterReply(action.key, api.Outcome[how], total, took))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions stay what they were, unless a change means to change them."""
+"""Regression test: decisions stay the same unless a change is meant to alter them."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 POLICY = policy_names(settings, events, actions)
 
-# Taken from the sources of 2026-12-02.  A change that means to decide otherwise puts new digests
-# here and says in its commit what the service measure did.
+# Recorded with the sources of 2026-12-02.  A change that is meant to alter decisions records new
+# digests here and states in its commit how the service measure changed.
 DIGESTS = {
     1: "3e334d1f189edae9",
     2: "83666edf868d15e7",
@@ -32,7 +32,7 @@
     15: "a72e01169c4aa07b",
     16: "97e7bb5e61d7ef13",
 }
-CAME_ABOUT = (
+EXPECTED_KINDS = (
     "StartAttempt",
     "RejectRequest",
     "FailRequest",
@@ -54,15 +54,15 @@
 
 
 @pytest.mark.parametrize("seed", DIGESTS)
-def test_recorded_faults_lead_to_the_recorded_decisions(seed: int) -> None:
+def test_the_same_faults_lead_to_the_recorded_decisions(seed: int) -> None:
     assert Stage(POLICY, gateway, seed).play()[:16] == DIGESTS[seed]
 
 
 def test_the_recorded_runs_contain_every_kind_of_fault_and_action() -> None:
-    """Half of the seeds, run anew, so that the test stands alone on its worker."""
+    """Runs half of the seeds again, so that the test does not depend on others on its worker."""
     found: Counter[str] = Counter()
     for seed in list(DIGESTS)[::2]:
         stage = Stage(POLICY, gateway, seed)
         stage.play()
         found += stage.seen
-    assert [what for what in CAME_ABOUT if not found[what]] == []
+    assert [kind for kind in EXPECTED_KINDS if not found[kind]] == []
--- a/tests/test_policy_files.py
+++ b/tests/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The policy as a text: the size of its files and what it imports."""
+"""Checks the source files of the policy: their size and their imports."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 PACKAGE = sorted((ROOT / "ingress" / "policy").glob("*.py"))
 PLAIN_DATA = {"__init__.py", "actions.py", "events.py", "settings.py"}
-MAX_FILE_LINES = 400  # blank ones and docstrings too
+MAX_FILE_LINES = 400  # including blank lines and docstrings
 MAX_LINE_LENGTH = 100
 
 
-def lines_of(path: Path) -> list[str]:
+def read_lines(path: Path) -> list[str]:
     return path.read_text(encoding="utf-8").splitlines()
 
 
 @pytest.mark.parametrize("path", PACKAGE, ids=lambda path: path.name)
 def test_a_policy_file_is_not_too_long(path: Path) -> None:
-    assert len(lines_of(path)) <= MAX_FILE_LINES
+    assert len(read_lines(path)) <= MAX_FILE_LINES
 
 
 @pytest.mark.parametrize("path", PACKAGE, ids=lambda path: path.name)
 def test_no_line_of_a_policy_file_is_too_long(path: Path) -> None:
-    assert max(map(len, lines_of(path)), default=0) <= MAX_LINE_LENGTH
+    assert max(map(len, read_lines(path)), default=0) <= MAX_LINE_LENGTH
 
 
-def test_the_deploy_file_names_every_file_that_decides() -> None:
+def test_the_deploy_file_lists_every_policy_file_that_makes_decisions() -> None:
     assert {path.name for path in PACKAGE} - PLAIN_DATA == {path.name for path in POLICY}
 
 
-def test_the_policy_is_all_that_the_module_imports() -> None:
+def test_policy_files_import_only_the_policy_and_allowed_standard_modules() -> None:
     names = set()
     for path in POLICY:
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -49,8 +49,8 @@
                 names |= {a.name for a in node.names}
             elif isinstance(node, ast.ImportFrom):
                 names.add(node.module or "")
-    own = {".".join(path.relative_to(ROOT).with_suffix("").parts) for path in POLICY}
-    assert names <= own | {
+    policy_modules = {".".join(path.relative_to(ROOT).with_suffix("").parts) for path in POLICY}
+    assert names <= policy_modules | {
         "__future__",
         "bisect",
         "collections",
