--- a/ingress/core/open_request.py
+++ b/ingress/core/open_request.py
@@ -7,7 +7,7 @@
 from ingress.core.calls import Call
 from ingress.core.ports import Attempt, Downstream, TimerHandle
 from ingress.policy.events import RequestReceived
-from ingress.policy.settings import MAX_HOLD_UP_S
+from ingress.policy.settings import MAX_PROCESS_PAUSE_S
 
 POLICY_MARGIN_S: Final = 0.020
 """Before the client's timeout: when the policy's ends."""
@@ -15,7 +15,7 @@
 """The policy's margin is at most the client's timeout divided by this."""
 FORCED_RESPONSE_MARGIN_S: Final = 0.005
 """Before the client's timeout: when a final response is forced."""
-DEDUPLICATION_MARGIN_S: Final = MAX_HOLD_UP_S + 0.005
+DEDUPLICATION_MARGIN_S: Final = MAX_PROCESS_PAUSE_S + 0.005
 """Before a memory of idempotency keys ends: for a retry's write, and its way to the backend."""
 OPEN_REQUEST_BYTES: Final = 2048
 """What an open request takes beside its call."""
--- a/ingress/policy/request_state.py
+++ b/ingress/policy/request_state.py
@@ -6,7 +6,7 @@
 from ingress.policy.customer import Customer
 from ingress.policy.events import Backend, RequestReceived
 from ingress.policy.settings import (
-    MAX_HOLD_UP_S,
+    MAX_PROCESS_PAUSE_S,
     DeduplicationScope,
     Plan,
     RequestClass,
@@ -79,7 +79,7 @@
             return True
         if self.request_class.semantics is RetrySemantics.NON_IDEMPOTENT:
             return False
-        latest_write_at = now + settings.tick_interval + MAX_HOLD_UP_S
+        latest_write_at = now + settings.tick_interval + MAX_PROCESS_PAUSE_S
         return self._is_deduplicated(target.backend, latest_write_at)
 
     def _is_deduplicated(self, backend: Backend, arrives_at: float) -> bool:
--- a/ingress/policy/settings.py
+++ b/ingress/policy/settings.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import Final
 
-MAX_HOLD_UP_S: Final = 0.15
+MAX_PROCESS_PAUSE_S: Final = 0.15
 """Longest pause of the process between reading its clock and acting on the time."""
 
 
--- a/ingress/transport/backend_pool.py
+++ b/ingress/transport/backend_pool.py
@@ -13,7 +13,7 @@
 from ingress.core.clock import Clock
 from ingress.core.ports import Attempt, AttemptEndHandler, Timers
 from ingress.policy.events import NO_LOAD_REPORT, Backend, Outcome, Readiness
-from ingress.policy.settings import MAX_HOLD_UP_S
+from ingress.policy.settings import MAX_PROCESS_PAUSE_S
 from ingress.transport.backend_connection import BackendConnection, Endpoint
 from ingress.transport.backend_protocol import BackendProtocolFactory
 from ingress.transport.idle_limit import IdleLimit
@@ -78,7 +78,7 @@
         self.make_protocol = make_protocol
         self.max_connections = max_connections
         self.connect_timeout = connect_timeout
-        self.drain_grace = max(0.0, grace * DRAIN_GRACE_FRACTION - MAX_HOLD_UP_S)
+        self.drain_grace = max(0.0, grace * DRAIN_GRACE_FRACTION - MAX_PROCESS_PAUSE_S)
         self.idle_limit = IdleLimit(idle_time)
         self.clock = clock
         self.report_outcome = ended
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -9,7 +9,7 @@
 from ingress.core.calls import Call
 from ingress.policy.actions import Action, StartAttempt
 from ingress.policy.events import AttemptEnded, Backend, Event, Outcome, Readiness
-from ingress.policy.settings import MAX_HOLD_UP_S
+from ingress.policy.settings import MAX_PROCESS_PAUSE_S
 from ingress.resp.backend_protocol import RespBackendProtocol
 from tests.peers import SETTINGS, Caller, backend, command, config, entry, run, until, value
 from tests.support.applications import ScriptedPolicy, serving, start_attempt
@@ -33,7 +33,7 @@
         def encode_request(protocol: RespBackendProtocol, call: Call, time_left: float) -> bytes:
             data = real_encode(protocol, call, time_left)
             if self.written_at:
-                clock.stalled_for += MAX_HOLD_UP_S
+                clock.stalled_for += MAX_PROCESS_PAUSE_S
             self.written_at.append(clock())
             return data
 
@@ -92,7 +92,7 @@
             await pool.outcome()
             pool.update((Backend("s0", readiness=Readiness.DRAINING), peer.address), full=False)
             # The agent may have had the drain for half of the grace, which is a second.
-            pool.clock_offset = 1.0 - 0.5 - MAX_HOLD_UP_S + 0.01
+            pool.clock_offset = 1.0 - 0.5 - MAX_PROCESS_PAUSE_S + 0.01
             pool.start()
             assert (await pool.outcome(2))[0] is Outcome.CONNECT_FAILED
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
 from ingress.policy.gateway import Gateway
 from ingress.policy.request_state import RequestState, SentAttempt
 from ingress.policy.settings import (
-    MAX_HOLD_UP_S,
+    MAX_PROCESS_PAUSE_S,
     DeduplicationScope,
     Plan,
     RequestClass,
@@ -99,7 +99,7 @@
     request = request_after(KEYED, Outcome.TIMEOUT)
     backend = BackendState(FLEET[0], 100.0)
     # The process may pause before it sends the request.
-    window_end = 100.0 + KEYED.deduplication_window - MAX_HOLD_UP_S
+    window_end = 100.0 + KEYED.deduplication_window - MAX_PROCESS_PAUSE_S
     assert request.may_attempt(backend, window_end - 0.1, SETTINGS)
     assert not request.may_attempt(backend, window_end, SETTINGS)
 
