--- a/ingress/policy/load_shedding.py
+++ b/ingress/policy/load_shedding.py
@@ -48,7 +48,7 @@
         It is the share of recent requests whose value for their work is smaller, or equal where
         their customer is shed earlier.
         """
-        self._cost.request_weighed(request.units)
+        self._cost.record_request_units(request.units)
         value = self._value(request)
         if len(self._recent_values) >= RECENT_REQUESTS:
             del self._sorted_values[bisect_left(self._sorted_values, self._recent_values.popleft())]
--- a/ingress/policy/request_cost.py
+++ b/ingress/policy/request_cost.py
@@ -45,7 +45,7 @@
         sample = min(latency, request_class.latency_objective)
         self.mean_latencies[request_class.name] = mean + SAMPLE_WEIGHT * (sample - mean)
 
-    def request_weighed(self, units: float) -> None:
+    def record_request_units(self, units: float) -> None:
         """Updates the mean units with the units of a request."""
         self.mean_units += (units - self.mean_units) * SMOOTHING / 4
 
