--- a/tests/staged.py
+++ b/tests/staged.py
@@ -28,7 +28,7 @@
 }
 
 
-class Stage:
+class Simulation:
     """One gateway with random backends, clients and a random counter; a seed determines them.
 
     Attributes:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -30,7 +30,7 @@
 )
 from ingress.wire_settings import read_settings
 from tests.peers import SETTINGS
-from tests.staged import Stage
+from tests.staged import Simulation
 from tests.twins import forms
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -39,7 +39,7 @@
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 2**32))
 def test_the_same_drawn_troubles_bring_the_same_actions(seed: int) -> None:
-    plain, fast = (Stage(form.policy, form.policy_gateway, seed, seconds=4.0) for form in forms())
+    plain, fast = (Simulation(form.policy, form.policy_gateway, seed, seconds=4.0) for form in forms())
     plain.play()
     fast.play()
     assert plain.seen["StartAttempt"] > 5
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ingress.policy import actions, events, gateway, settings
-from tests.staged import Stage
+from tests.staged import Simulation
 from tests.twins import policy_names
 
 POLICY = policy_names(settings, events, actions)
@@ -55,14 +55,14 @@
 
 @pytest.mark.parametrize("seed", DIGESTS)
 def test_the_same_faults_lead_to_the_recorded_decisions(seed: int) -> None:
-    assert Stage(POLICY, gateway, seed).play()[:16] == DIGESTS[seed]
+    assert Simulation(POLICY, gateway, seed).play()[:16] == DIGESTS[seed]
 
 
 def test_the_recorded_runs_contain_every_kind_of_fault_and_action() -> None:
     """Runs half of the seeds again, so that the test does not depend on others on its worker."""
     found: Counter[str] = Counter()
     for seed in list(DIGESTS)[::2]:
-        stage = Stage(POLICY, gateway, seed)
+        stage = Simulation(POLICY, gateway, seed)
         stage.play()
         found += stage.seen
     assert [kind for kind in EXPECTED_KINDS if not found[kind]] == []
