--- a/tests/staged.py
+++ b/tests/staged.py
@@ -116,7 +116,7 @@
         self.sequence += 1
         heapq.heappush(self.event_queue, (self.now + delay, self.sequence, kind, event))
 
-    def play(self) -> str:
+    def run(self) -> str:
         """Runs the simulation to its end and returns a digest of all actions."""
         self.deliver(
             self.api.BackendsChanged(self.api.EndpointListKind.RESTORED, tuple(self.backends), 1)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("seed", DIGESTS)
 def test_the_same_faults_lead_to_the_recorded_decisions(seed: int) -> None:
-    assert Simulation(POLICY, gateway, seed).play()[:16] == DIGESTS[seed]
+    assert Simulation(POLICY, gateway, seed).run()[:16] == DIGESTS[seed]
 
 
 def test_the_recorded_runs_contain_every_kind_of_fault_and_action() -> None:
@@ -63,6 +63,6 @@
     found: Counter[str] = Counter()
     for seed in list(DIGESTS)[::2]:
         stage = Simulation(POLICY, gateway, seed)
-        stage.play()
+        stage.run()
         found += stage.seen
     assert [kind for kind in EXPECTED_KINDS if not found[kind]] == []
