--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -39,7 +39,9 @@
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 2**32))
 def test_the_same_drawn_troubles_bring_the_same_actions(seed: int) -> None:
-    plain, fast = (Simulation(form.policy, form.policy_gateway, seed, seconds=4.0) for form in forms())
+    plain, fast = (
+        Simulation(form.policy, form.policy_gateway, seed, seconds=4.0) for form in forms()
+    )
     plain.run()
     fast.run()
     assert plain.seen["StartAttempt"] > 5
