--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -62,7 +62,7 @@
     """Runs half of the seeds again, so that the test does not depend on others on its worker."""
     found: Counter[str] = Counter()
     for seed in list(DIGESTS)[::2]:
-        stage = Simulation(POLICY, gateway, seed)
-        stage.run()
-        found += stage.seen
+        simulation = Simulation(POLICY, gateway, seed)
+        simulation.run()
+        found += simulation.seen
     assert [kind for kind in EXPECTED_KINDS if not found[kind]] == []
