--- a/ingress/policy/admission.py
+++ b/ingress/policy/admission.py
@@ -196,7 +196,7 @@
                 self._decide(now, request)
 
     def _decide(self, now: float, request: RequestState) -> None:
-        """Forwards a request that fits the known quota or is worthwhile beyond it, or ends it."""
+        """Forwards a request that fits the known quota or is worthwhile beyond it; else ends it."""
         if request.finished:
             self._quota_reporter.return_units(now, request)
             return
--- a/ingress/policy/settings.py
+++ b/ingress/policy/settings.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 MAX_PROCESS_PAUSE_S: Final = 0.15
-"""Longest pause of the process between reading its clock and acting on the time."""
+"""Maximum expected pause of the process between reading its clock and acting on the reading."""
 
 
 class RetrySemantics(Enum):
