--- a/ingress/policy/backend_state.py
+++ b/ingress/policy/backend_state.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one backend: attempts in flight, latencies and failures."""
+"""Per-backend state of one gateway: attempts in flight, latencies and failures."""
 
 from __future__ import annotations
 
@@ -9,33 +9,35 @@
 from ingress.policy.token_bucket import TokenBucket
 
 SAMPLE_WEIGHT: Final = 0.15
-"""Weight of a new sample in a running mean: about the last dozen count."""
+"""Weight of a new sample in a running mean, which then covers about the last dozen samples."""
 BUSY_LATENCY_SHARE: Final = 0.18
-"""Of the latency objective: a backend whose mean latency is longer holds too much."""
+"""Share of the latency objective above which a mean latency marks the backend as overloaded."""
 MIN_RELATIVE_LATENCY: Final = 0.2
 CROSS_ZONE_FACTOR: Final = 1.1
-"""A backend of another zone counts as this much busier, to break ties."""
+"""Factor on the load score of a backend in another zone, to break ties."""
 MIN_WEIGHT: Final = 1e-6
 
 
 class BackendState:
-    """What this gateway knows of one backend.
+    """The state that this gateway keeps for one backend.
 
-    Times are seconds.
+    Times are in seconds.
 
     Attributes:
-        backend: its last entry in the endpoint list.
-        is_ready: the endpoint list holds it as ready.
-        in_flight: when each attempt without an outcome was sent, by request and number, in order.
-        oldest_sent_at: when the first of those was sent; 0 while there is none.
-        relative_latency: mean latency as a multiple of what the request class takes on the mean.
-        latency_share: mean latency as a share of the latency objective.
-        consecutive_failures: failures since the last response.
-        unreachable: the last failure was of the connection.
-        consecutive_overloads: how many attempts in a row it took nothing of.
-        ejected_until: nothing is sent before this time.
-        ejected_by_peers_until: until when other gateways observe it down and probe it for all.
-        warmup_budget: what may be sent to it while it is warming up.
+        backend: The backend's latest entry in the endpoint list.
+        is_ready: Whether the endpoint list names the backend as ready.
+        in_flight: The start time of each attempt without an outcome, by request ID and attempt
+            number, oldest first.
+        oldest_sent_at: The start time of the oldest attempt in flight; 0 if there is none.
+        relative_latency: The mean latency as a multiple of the request class's mean latency.
+        latency_share: The mean latency as a share of the latency objective.
+        consecutive_failures: The number of failures since the last response.
+        unreachable: Whether the last failure was a connection failure.
+        consecutive_overloads: The number of consecutive attempts rejected as overloaded.
+        ejected_until: The time until which the backend receives no attempts.
+        ejected_by_peers_until: The time until which other gateways report the backend as down and
+            probe it on behalf of all gateways.
+        warmup_budget: The budget for attempts while the backend is warming up.
     """
 
     def __init__(self, backend: Backend, now: float, warmup_level: float = 0.0) -> None:
@@ -46,13 +48,14 @@
         self.reset(now, warmup_level)
 
     def reset(self, now: float, warmup_level: float) -> None:
-        """Forgets what was known of an earlier start of the backend.
+        """Resets the state after a restart of the backend.
 
         Args:
-            now: the time in seconds.
-            warmup_level: of the warm-up budget, drawn evenly from 0 to 1.  Budgets far under one
-                attempt that start alike at all gateways would reach it at one moment; drawn levels
-                make all gateways together send at their rate from the start.
+            now: The time in seconds.
+            warmup_level: The initial level of the warm-up budget, drawn uniformly from 0 to 1.
+                If all gateways started with the same level, budgets far below one attempt would
+                reach it at the same moment.  Random levels let all gateways together send at
+                their combined rate from the start.
         """
         self.relative_latency = 1.0
         self.relative_latency_at = now
@@ -66,13 +69,13 @@
         self.warmup_budget = TokenBucket(0.0, 1.0, warmup_level, now)
 
     def is_warming_up(self, now: float, settings: Settings) -> bool:
-        """Returns whether it started so recently that it bears less than its weight says."""
+        """Returns whether the backend is too recently started to handle its full weight."""
         return (
             self.backend.started_at > 0.0 and now < self.backend.started_at + settings.warmup_time
         )
 
     def attempt_started(self, key: tuple[str, int], now: float) -> None:
-        """Records an attempt, by request and number, as in flight."""
+        """Records an attempt, identified by request ID and attempt number, as in flight."""
         if not self.in_flight:
             self.oldest_sent_at = now
         self.in_flight[key] = now
@@ -86,13 +89,13 @@
     def response_received(
         self, now: float, latency: float, mean_latency: float, objective: float
     ) -> None:
-        """Takes a response's latency into the running means.
+        """Updates the running means with a response's latency.
 
         Args:
-            now: the time in seconds.
-            latency: of this response, in seconds.
-            mean_latency: what the request class takes on the mean.
-            objective: the latency objective of the request class.
+            now: The time in seconds.
+            latency: The latency of this response in seconds.
+            mean_latency: The mean latency of the request class in seconds.
+            objective: The latency objective of the request class in seconds.
         """
         relative_latency = latency / max(mean_latency, 1e-6)
         self.relative_latency += SAMPLE_WEIGHT * (relative_latency - self.relative_latency)
@@ -101,26 +104,25 @@
         self.latency_share += SAMPLE_WEIGHT * (latency / objective - self.latency_share)
 
     def silent_for(self, now: float) -> float:
-        """Returns for how many seconds it has held attempts and answered nothing.
+        """Returns for how many seconds the backend has had attempts in flight without a response.
 
-        One response that is lost beside others that come does not count as silence.
+        A single lost response does not count as silence while other responses arrive.
         """
         return now - max(self.last_response_at, self.oldest_sent_at) if self.in_flight else 0.0
 
     def load_score(
         self, now: float, mean_latency: float, decay_time: float, zone: str, chance: float
     ) -> float:
-        """Returns its load for its size; the smallest is chosen.
+        """Returns the load relative to the backend's weight; the lowest score is chosen.
 
         Args:
-            now: the time in seconds.
-            mean_latency: what the request class takes on the mean.
-            decay_time: a third of the seconds after which half of what is known of its latency is
-                forgotten.
-            zone: of this gateway.
-            chance: an exponentially distributed number in place of one more attempt.  Gateways that
-                each hold next to nothing would all choose the largest backend; so idle ones are
-                chosen by size.
+            now: The time in seconds.
+            mean_latency: The mean latency of the request class in seconds.
+            decay_time: A third of the half-life, in seconds, of the latency information.
+            zone: The zone of this gateway.
+            chance: An exponentially distributed number that replaces the one additional attempt.
+                Gateways with next to no attempts in flight would otherwise all choose the largest
+                backend; with it, they choose idle backends in proportion to weight.
         """
         slowness: float = 1.0 + (self.relative_latency - 1.0) * 0.5 ** (
             (now - self.relative_latency_at) / (3 * decay_time)
--- a/ingress/policy/concurrency_limiter.py
+++ b/ingress/policy/concurrency_limiter.py
@@ -1,9 +1,10 @@
-"""An adaptive limit on the attempts that one gateway has in flight, learnt from their latencies.
+"""An adaptive limit on the attempts that one gateway has in flight, derived from their latencies.
 
-Hundreds of gateways that each kept a few attempts at each backend in flight would hold several
-times what all backends bear, so the limit may be far below one.  It needs no word from other
-gateways: where responses take longer, the same limit admits less.  It follows additive increase,
-multiplicative decrease (Chiu and Jain, 1989).
+If hundreds of gateways each kept a few attempts in flight at each backend, they would exceed the
+capacity of all backends several times over, so the limit may be far below one attempt.  The limit
+needs no messages from other gateways: as responses become slower, the same limit admits fewer
+attempts per second.  The algorithm is additive increase, multiplicative decrease (Chiu and Jain,
+1989).
 """
 
 from __future__ import annotations
@@ -12,32 +13,33 @@
 from typing import Final
 
 MEAN_TIME_CONSTANT_S: Final = 1.0
-"""Of the mean of attempts in flight: longer than a burst, shorter than congestion."""
+"""Time constant of the mean of attempts in flight: longer than a burst, shorter than congestion."""
 SLOW_RESPONSE_FRACTION: Final = 0.6
-"""Of the latency objective: a response that takes longer tells that too much is in flight."""
+"""Fraction of the latency objective: a slower response indicates too many attempts in flight."""
 FAST_RESPONSE_FRACTION: Final = 0.4
-"""Of the latency objective: a response that takes less tells that more may be."""
+"""Fraction of the latency objective: a faster response indicates spare capacity."""
 DECREASE_FACTOR: Final = 0.9
 INCREASE_ATTEMPTS: Final = 0.1
-"""Added to the limit by a fast response."""
+"""Attempts by which a fast response increases the limit."""
 MAX_BURST_ATTEMPTS: Final = 2
 MAX_BURST_LIMITS: Final = 1.5
-"""With `MAX_BURST_ATTEMPTS` beside them, so many times the limit may be in flight for a moment."""
+"""Multiple of the limit that may briefly be in flight, in addition to `MAX_BURST_ATTEMPTS`."""
 MIN_LIMIT_ATTEMPTS: Final = 0.02
-"""Below this nothing would be sent whose response tells that congestion is over."""
+"""A lower limit would send no attempts whose responses could show the end of congestion."""
 MIN_USED_FRACTION: Final = 0.2
-"""Of the limit: what counts as used at least when it is decreased."""
+"""Minimum fraction of the limit that is treated as used when the limit is decreased."""
 INITIAL_LIMIT_ATTEMPTS: Final = 1.0
 
 
 class ConcurrencyLimiter:
-    """The limit, and what is in flight under it.  Times are seconds.
+    """The concurrency limit and the attempts that count against it.  Times are in seconds.
 
     Attributes:
-        limit: Attempts that may be in flight on the mean.
-        in_flight: When each attempt in flight stops to count, by request and number.
+        limit: The number of attempts that may be in flight on average.
+        in_flight: The time at which each attempt in flight stops counting, by request ID and
+            attempt number.
         mean_in_flight: The running mean of attempts in flight, as of `updated_at`.
-        decreased_at: When the limit was last decreased.
+        decreased_at: The time at which the limit was last decreased.
     """
 
     def __init__(self) -> None:
@@ -49,13 +51,13 @@
         self.decreased_at = 0.0
 
     def start(self, size: float) -> None:
-        """Sets the limit, in attempts, to begin with; later calls do nothing."""
+        """Sets the initial limit in attempts; later calls have no effect."""
         if not self.started:
             self.limit = max(INITIAL_LIMIT_ATTEMPTS, size)
             self.started = True
 
     def _advance(self, now: float) -> None:
-        """Drops what has expired and updates the mean."""
+        """Drops expired attempts and updates the mean."""
         while self.in_flight:
             key, expires_at = next(iter(self.in_flight.items()))
             if expires_at >= now:
@@ -66,34 +68,34 @@
         self.updated_at = now
 
     def utilization(self, now: float) -> float:
-        """Returns the fraction of the limit that is in use; it may be above 1.
+        """Returns the fraction of the limit that is in use; it may exceed 1.
 
-        The mean tells too late of a burst, so what is in flight beyond a few counts at once.
+        The mean reflects a burst too late, so attempts beyond a small number count immediately.
         """
         self._advance(now)
         burst = (len(self.in_flight) - MAX_BURST_ATTEMPTS) / MAX_BURST_LIMITS
         return max(self.mean_in_flight, burst) / self.limit
 
     def attempt_started(self, now: float, key: tuple[str, int], latency_objective: float) -> None:
-        """Counts an attempt, for its latency objective at the most.
+        """Counts an attempt as in flight, for its latency objective at most.
 
-        Backends that never respond would hold the limit for ever otherwise.
+        Without that bound, backends that never respond would use up the limit permanently.
         """
         self._advance(now)
         self.in_flight[key] = now + latency_objective
 
     def attempt_ended(self, now: float, key: tuple[str, int]) -> None:
-        """Counts an attempt no more; one that has expired may end again."""
+        """Stops counting an attempt; does nothing for one that has already expired."""
         self._advance(now)
         self.in_flight.pop(key, None)
 
     def response_received(
         self, now: float, latency: float, latency_objective: float, min_utilization: float
     ) -> None:
-        """Moves the limit by a response's latency.
+        """Adjusts the limit by a response's latency.
 
-        It grows only while at least `min_utilization` of it is in use: else it would grow without
-        end.
+        The limit grows only while at least `min_utilization` of it is in use; otherwise it would
+        grow without bound.
         """
         self._advance(now)
         if latency > SLOW_RESPONSE_FRACTION * latency_objective:
@@ -105,9 +107,9 @@
             self.limit += INCREASE_ATTEMPTS
 
     def decrease(self, now: float, latency: float) -> None:
-        """Decreases the limit, once in `latency` seconds; what was not in use is given up at once.
+        """Decreases the limit, at most once per `latency` seconds, and drops its unused part.
 
-        Attempts that were in flight together all tell of the same congestion.
+        Attempts that were in flight together all indicate the same congestion.
         """
         self._advance(now)
         if now - self.decreased_at > latency:
--- a/ingress/policy/counter_consistency.py
+++ b/ingress/policy/counter_consistency.py
@@ -1,9 +1,10 @@
-"""Checks that tell whether the counter was replaced, or whether some gateways add to another copy.
+"""Checks that detect a replaced counter, and gateways that add to a different copy of it.
 
-Each gateway adds 1 to a few check keys at a fixed rate.  Each key lies on one part of the counter,
-which may be lost, partitioned or replaced alone.  Between two additions of one gateway to a key
-every other gateway adds once, so that the total grows by the number of gateways that add to the
-same copy.  A total that does not grow by the gateway's own addition belongs to another counter.
+Each gateway adds 1 to a few check keys at a fixed rate.  Each key is stored on one part of the
+counter, which may be lost, partitioned or replaced independently of the others.  Between two
+additions by one gateway to a key, every other gateway adds once, so the total grows by the number
+of gateways that add to the same copy.  A total that does not grow by the gateway's own addition
+belongs to a different counter.
 """
 
 from __future__ import annotations
@@ -16,56 +17,57 @@
 
 CHECK_COUNT: Final = 2
 CALL_PERIOD_S: Final = 0.5
-"""Between two additions of one gateway, to any check."""
+"""Time between two additions by one gateway, to any check."""
 MAX_GATEWAYS_AT_FULL_RATE: Final = 12.0
-"""More gateways add more rarely, so that all together make 24 calls a second at most."""
+"""More gateways each add less often, so that all together make at most 24 calls per second."""
 RESTART_GRACE_S: Final = 3.0
-"""A gateway that is missed for no longer has most likely just been restarted."""
+"""A gateway that is missing for no longer than this is most likely just restarting."""
 MIN_MISSING_GATEWAYS: Final = 0.75
-"""Fewer that seem to be missing are additions that crossed one another."""
+"""Smaller shortfalls are caused by additions from different gateways that arrived out of order."""
 GROWTH_WINDOW_TOTALS: Final = 2
-"""Over which growth is taken, since one addition may cross another's."""
+"""Number of totals over which growth is measured: two additions may arrive out of order."""
 OWN_ADDITION: Final = 1.0
-"""What each call adds: a total that grows by less than half of it belongs to another counter."""
+"""Added by each call; a total that grows by less than half of it belongs to another counter."""
 
 NOT_YET: Final = 1e18
-"""A point in time after all others."""
+"""A point in time after every other."""
 
 
 class CounterState(Enum):
-    """What a check tells of the part of the counter where its key lies.
+    """The state of the part of the counter that stores a check's key.
 
-    The values are those of the log and of the counts that an operator reads.
+    The values appear in the log and in the counts that operators read.
     """
 
     UNKNOWN = "unknown"
-    """No total came yet."""
+    """No total has been received yet."""
     CONSISTENT = "sound"
     """All gateways add to it."""
     SLOW = "slow"
-    """Calls are not answered in time."""
+    """Calls time out."""
     LOST = "lost"
     """Calls fail."""
     PARTITIONED = "parted"
-    """Fewer gateways add to it than there are."""
+    """Fewer gateways add to it than exist."""
 
 
 class ConsistencyCheck:
-    """One check: the last totals, and what they tell.  Times are seconds.
+    """One check: its latest totals and the state derived from them.  Times are in seconds.
 
     Attributes:
-        key_number: What the check's counter keys are made of.
-        key: The counter key in use; -1 before the first call.
-        called_at: When the last call was made.
-        in_flight: Whether that call has no outcome yet.
-        totals: The last totals of the key, one for each addition that was answered.
-        member_count: Gateways that add where this one does; 0 while that is not known.
-        latest_growth: The same by the last two totals alone: sooner, and less sure.
-        replaced_at: When the counter was last seen to be another.
-        partitioned_at: Since when gateways have been missing.
-        replacements: How often the counter was replaced.
-        partitions: How often gateways began to be missing.
-        state: What the totals tell.
+        key_number: The number from which the check's counter keys are derived.
+        key: The current counter key; -1 before the first call.
+        called_at: The time of the latest call.
+        in_flight: Whether the latest call has no outcome yet.
+        totals: The latest totals of the key, one for each addition that received a reply.
+        member_count: The estimated number of gateways that add to the same copy of the counter as
+            this one; 0 while unknown.
+        latest_growth: The same estimate from the last two totals alone: earlier but less reliable.
+        replaced_at: The time at which a replacement of the counter was last detected.
+        partitioned_at: The time since which gateways have been missing.
+        replacements: The number of detected replacements of the counter.
+        partitions: The number of times that gateways began to be missing.
+        state: The state that the totals indicate.
     """
 
     def __init__(self, text: str) -> None:
@@ -83,7 +85,7 @@
         self.state = CounterState.UNKNOWN
 
     def begin_call(self, now: float) -> int:
-        """Records that a call is made, and returns the counter key to add 1 to."""
+        """Records the start of a call and returns the counter key to add 1 to."""
         key, _ = counter_keys.counter_key(self.key_number, now)
         if key != self.key:
             self.key = key
@@ -93,14 +95,20 @@
         return key
 
     def call_failed(self, slow: bool) -> None:
-        """Records that no total came; growth over the gap would tell nothing of the others."""
+        """Records a call without a total; growth across the gap would not count other gateways."""
         self.in_flight = False
         self.totals = []
         self.latest_growth = 0.0
         self.state = CounterState.SLOW if slow else CounterState.LOST
 
     def total_received(self, now: float, total: float, gateways: int) -> None:
-        """Records a total, with this gateway's addition in it, and what it tells of `gateways`."""
+        """Records a total that includes this gateway's addition, and updates the state.
+
+        Args:
+            now: The time in seconds.
+            total: The total of the key.
+            gateways: The number of gateways that exist.
+        """
         self.in_flight = False
         if self.totals and total < self.totals[-1] + OWN_ADDITION / 2:
             self.replacements += 1
@@ -111,12 +119,12 @@
         if len(self.totals) > GROWTH_WINDOW_TOTALS + 1:
             del self.totals[0]
         if len(self.totals) == GROWTH_WINDOW_TOTALS + 1:
-            self._judge_growth(now, gateways)
+            self._update_state(now, gateways)
 
-    def _judge_growth(self, now: float, gateways: int) -> None:
+    def _update_state(self, now: float, gateways: int) -> None:
         growth = (self.totals[-1] - self.totals[0]) / GROWTH_WINDOW_TOTALS
         self.member_count = max(1.0, min(float(gateways), growth))
-        # Half a gateway may be missing by an addition that crossed the end of the window.
+        # An addition that crossed the end of the window may look like half a missing gateway.
         if growth > gateways - MIN_MISSING_GATEWAYS:
             self.state = CounterState.CONSISTENT
             self.partitioned_at = NOT_YET
@@ -128,15 +136,15 @@
 
 
 class CounterConsistency:
-    """All checks of one gateway.  Times are seconds.
+    """All checks of one gateway.  Times are in seconds.
 
     Attributes:
-        gateway_count: How many gateways there are.
-        checks: The checks, in the order in which they have their turn.
-        period: Between two calls of this gateway.
-        next_check: The index of the check whose turn it is.
-        due_at: When it is.
-        late_totals: How many totals came after their calls had failed, and were of use.
+        gateway_count: The number of gateways.
+        checks: The checks, in the order in which they are called.
+        period: The time between two calls by this gateway.
+        next_check: The index of the check to call next.
+        due_at: The time at which that call is due.
+        late_totals: The number of useful totals that arrived after their calls had timed out.
     """
 
     def __init__(self, gateway_count: int) -> None:
@@ -148,10 +156,10 @@
         self.late_totals = 0
 
     def due_calls(self, now: float) -> tuple[list[int], float]:
-        """Returns the keys to add 1 to now, one or none, and the seconds until the next call.
+        """Returns the keys to add 1 to now (one or none) and the seconds until the next call.
 
-        A call that was late does not make those after it late: the additions of other gateways
-        would cross them.
+        A late call does not delay the calls after it: the additions would otherwise overlap with
+        those of other gateways.
         """
         if now < self.due_at + self.period:
             self.due_at = self.due_at + self.period
@@ -163,22 +171,23 @@
         return keys, max(0.0, self.due_at - now)
 
     def check_of(self, key: int) -> ConsistencyCheck | None:
-        """Returns the check that uses a counter key, if one does."""
+        """Returns the check that uses a counter key, or None."""
         for check in self.checks:
             if check.key == key:
                 return check
         return None
 
     def reachable_share(self, now: float, min_duration: float = 0.0) -> float:
-        """Returns the least fraction of the gateways that add where one of the checks does.
+        """Returns the smallest fraction of gateways that share a check's copy of the counter.
 
-        Of any token bucket, no more than that may be given out here.  It is 1 while all gateways
-        add, and where nothing is known.
+        This gateway may give out no more than this fraction of any token bucket.  The fraction is
+        1 while all gateways add, and while nothing is known.
 
         Args:
-            now: The time.
-            min_duration: Gateways that have been missing for less are not counted as missing.  With
-                0 the last additions are enough, if all checks agree that gateways are missing.
+            now: The time in seconds.
+            min_duration: The time in seconds for which gateways must have been missing to count as
+                missing.  With 0, the latest additions suffice if all checks agree that gateways
+                are missing.
         """
         share = 1.0
         if min_duration == 0.0 and self._all_miss_gateways():
@@ -192,10 +201,10 @@
         return share
 
     def _all_miss_gateways(self) -> bool:
-        """Returns whether the last two totals of every check lack gateways."""
-        most_growth = self.gateway_count - MIN_MISSING_GATEWAYS
-        return all(0 < check.latest_growth <= most_growth for check in self.checks)
+        """Returns whether the last two totals of every check indicate missing gateways."""
+        max_growth = self.gateway_count - MIN_MISSING_GATEWAYS
+        return all(0 < check.latest_growth <= max_growth for check in self.checks)
 
     def replaced_at(self) -> float:
-        """Returns when one of the checks last saw another counter."""
+        """Returns the latest time at which any check detected a different counter."""
         return max(check.replaced_at for check in self.checks)
--- a/ingress/policy/counter_throttle.py
+++ b/ingress/policy/counter_throttle.py
@@ -1,7 +1,7 @@
-"""How much the shared counter is called, by how it answers.
+"""Adapts the rate of calls to the shared counter to the counter's replies.
 
-Hundreds of gateways that call more than a counter can take get no answer at all.  Each calls less
-when a call fails, and more when the counter answers quickly.
+If hundreds of gateways make more calls than the counter can process, none of them receives a reply.
+Each gateway therefore calls less after a failed call, and more after a quick reply.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 INITIAL_CALL_SHARE: Final = 0.5
 CALL_SHARE_DECREASE: Final = 0.3
-"""Of the calls: as many fewer after one that failed; a quick reply brings back an eighth of it."""
+"""Fraction of the calls dropped after a failed call; a quick reply restores an eighth of it."""
 MIN_CALL_SHARE: Final = 0.05
-"""Of the calls that would be made: go to a counter that fails, to notice when it is back."""
+"""Share of calls still made to a failing counter, so that its recovery is noticed."""
 QUICK_REPLY_SHARE: Final = 0.25
-"""Of the counter's timeout: a counter that replies sooner can take more calls."""
+"""Share of the counter's timeout: a counter that replies sooner has spare capacity."""
 CEILING_CALL_FACTOR: Final = 2.0
-"""A crowded counter is called this much more readily about a ceiling, which must hold."""
+"""Factor on the share of calls about ceilings, which must hold even with a busy counter."""
 COUNTER_SILENCE_TIMEOUT_S: Final = 1.0
-"""Without any reply for longer the counter is gone, not crowded."""
+"""After this time without any reply the counter is treated as down, not busy."""
 
 
 class CounterThrottle:
-    """The share of counter calls that are made.
+    """Tracks the share of counter calls to make.
 
     Attributes:
-        call_share: from `MIN_CALL_SHARE` to 1.
-        answered_at: when the counter last answered, in seconds.
+        call_share: The share of calls to make, from `MIN_CALL_SHARE` to 1.
+        answered_at: The time of the counter's last reply, in seconds.
     """
 
     def __init__(self, counter_timeout: float) -> None:
@@ -37,18 +37,22 @@
         self.answered_at = NEVER
 
     def is_answering(self, now: float) -> bool:
-        """Returns whether the counter answered recently."""
+        """Returns whether the counter has replied recently."""
         return now - self.answered_at < COUNTER_SILENCE_TIMEOUT_S
 
     def share_of_calls(self, has_ceiling: bool) -> float:
-        """Returns the probability with which a call about a customer is made."""
+        """Returns the probability with which to make a call about a customer."""
         return min(1.0, CEILING_CALL_FACTOR * self.call_share) if has_ceiling else self.call_share
 
     def reply_received(self, latency: float) -> None:
-        """Calls more if the reply came quickly; `latency` is seconds."""
+        """Increases the share of calls after a quick reply.
+
+        Args:
+            latency: The latency of the reply in seconds.
+        """
         if latency < self._quick_reply_s:
             self.call_share = min(1.0, self.call_share + CALL_SHARE_DECREASE / 8)
 
     def call_failed(self) -> None:
-        """Calls less."""
+        """Decreases the share of calls after a failed call."""
         self.call_share = max(MIN_CALL_SHARE, self.call_share * (1 - CALL_SHARE_DECREASE))
--- a/ingress/policy/customer.py
+++ b/ingress/policy/customer.py
@@ -1,4 +1,4 @@
-"""One customer at this gateway: its quota slice, its ceiling, its use and its counter ledger."""
+"""Per-customer state of one gateway: quota slice, ceiling slice, use and counter ledger."""
 
 from __future__ import annotations
 
@@ -15,15 +15,14 @@
     from ingress.policy.request_state import RequestState
 
 CUSTOMER_IDLE_S: Final = 60.0
-"""A customer unseen for longer is dropped once its buckets are full."""
+"""Seconds without a request after which a customer is dropped once its buckets are full."""
 
 
 def _ceiling_reserve(plan: Plan, gateway_count: int, max_units: float) -> float:
-    """Returns the units of a ceiling that all slices of it hold together.
+    """Returns the units of a ceiling that the slices of all gateways hold together.
 
-    The slices hold what those of the quota do, or one request each; the counter lends the rest.
-    Where that would leave less than half to be lent, it lends everything.
-    """
+    The slices hold as much as the quota slices, or at least one request each; the counter lends the
+    rest.  If that would leave less than half of the ceiling to lend, the counter lends all of it.
     one_request_each = gateway_count * max_units
     if 2 * one_request_each > plan.ceiling_burst:
         return 0.0
@@ -31,29 +30,28 @@
 
 
 class Customer:
-    """One customer: its slice of the quota, its slice of the ceiling and its attempts in flight.
+    """One customer: its slices of the quota and the ceiling, and its attempts in flight.
 
-    Times are seconds, amounts are units of the plan.  All of it is what this gateway knows.
+    Times are in seconds, amounts in units of the plan.  All values are local to this gateway.
 
     Attributes:
-        slice_below_request: the quota slice is smaller than the largest request, so it holds none:
-            the counter is called first, and what it can't be called about is admitted where that
-            pays on the mean.
-        decided_by_counter: the shared count alone decides.  A count under a ceiling is never
-            corrected, since idle time would add up to credit in it.
-        ceiling_reserve: units of the ceiling that the slices of all gateways hold together.
-        unreported_units: used here and not yet added to the counter.
-        call_counter_after: no counter call before this time; `counter_backoff` is how long the last
-            wait was.
-        counter_called_at: when the counter call in flight was made; `NEVER` while none is.
-        slice_corrected_at: time of the total by which the slice was last corrected after totals
-            ended.
-        admitted_optimistically: a request was admitted without knowledge since the last total.
-        reliable_total_at: when a total last came that is certainly from the counter that earlier
-            ones are from.
-        awaiting_reply: requests that wait for the reply to the call in flight.
-        awaiting_next_call: requests that came while it was in flight; the next call is for all of
-            them.
+        slice_below_request: Whether the quota slice is smaller than the largest request and so
+            never holds one.  The counter is then called first; a request about which it cannot be
+            called is admitted if that pays on average.
+        decided_by_counter: Whether the shared count alone decides.  A count under a ceiling is
+            never corrected, since idle time would accumulate as credit in it.
+        ceiling_reserve: Units of the ceiling that the slices of all gateways hold together.
+        unreported_units: Units used at this gateway that are not yet added to the counter.
+        call_counter_after: The time before which the counter is not called.
+        counter_backoff: The length of the last backoff.
+        counter_called_at: The time of the counter call in flight; `NEVER` if there is none.
+        slice_corrected_at: The time of the total by which the slice was last corrected after
+            totals stopped arriving.
+        admitted_optimistically: Whether a request was admitted without a total since the last one.
+        reliable_total_at: The time of the last total that certainly came from the same counter as
+            earlier ones.
+        awaiting_reply: Requests that wait for the reply to the call in flight.
+        awaiting_next_call: Requests that arrived during that call; the next call covers them all.
     """
 
     def __init__(
@@ -98,8 +96,8 @@
         plan = self.plan
         rate = plan.rate / self.gateway_count
         burst = plan.burst / self.gateway_count
-        # Each restart would hand out a full burst.  Where the counter tells more, a slice holds
-        # what filled since the gateway started.
+        # Each restart would otherwise hand out a full burst.  If a counter is available, a slice
+        # starts with the units that were refilled since the gateway started.
         level = min(burst, rate * gateway_age) if can_learn else burst
         self.slice = TokenBucket(rate, burst, level, now)
         self.ceiling_reserve = (
@@ -115,9 +113,9 @@
         )
 
     def resize(self, now: float, event: RequestReceived) -> None:
-        """Adapts the slices to another number of gateways that serve the customer.
+        """Adapts the slices to a different number of gateways that serve the customer.
 
-        The levels are kept: new buckets would hand out a further burst and pass a ceiling.
+        The levels are kept: new buckets would hand out another burst and exceed a ceiling.
         """
         ratio = self.gateway_count / max(1, event.gateway_count)
         self.gateway_count = max(1, event.gateway_count)
@@ -130,13 +128,13 @@
         self.max_in_flight = max(1, int(self.plan.max_concurrent / self.gateway_count))
 
     def rank_among_equals(self, now: float) -> float:
-        """Returns the customer's shed rank from 0, shed first, up to 1."""
+        """Returns the customer's shed rank, from 0 (shed first) up to 1."""
         if now >= self.shed_rank_until:
             self.shed_rank, self.shed_rank_until = shed_rank(self.key_number, now)
         return self.shed_rank
 
     def is_idle(self, now: float) -> bool:
-        """Returns whether it can be forgotten: a new one with full buckets would be the same."""
+        """Returns whether the customer can be dropped: a new one would have the same state."""
         return (
             now - self.last_request_at > CUSTOMER_IDLE_S
             and not self.in_flight
@@ -147,27 +145,27 @@
         )
 
     def slice_has_tokens(self, now: float, units: float) -> bool:
-        """Returns whether the quota slice holds `units`, which may be more than its capacity."""
+        """Returns whether the quota slice holds `units`, which may exceed its capacity."""
         return self.slice.has_tokens(now, units, max(self.slice.capacity, units))
 
     def consume(self, now: float, units: float, counted: bool) -> None:
-        """Spends units of the quota.
+        """Takes units from the quota.
 
-        What other gateways lent leaves the slice empty, not in debt.
+        Units lent by other gateways leave the slice empty, not in debt.
 
         Args:
-            now: the time in seconds.
-            units: what the request is taken to cost.
-            counted: whether the units are in the unreported use already.
+            now: The time in seconds.
+            units: The estimated cost of the request.
+            counted: Whether the units are already part of the unreported use.
         """
         self.estimate.consume(now, units)
         self.slice.level = max(0.0, self.slice.level - units)
         self.unreported_units += 0.0 if counted or self.decided_by_counter else units
 
     def is_returning(self, now: float) -> bool:
-        """Returns whether it was here recently.
+        """Returns whether the customer sent requests to this gateway recently.
 
-        One that comes often to one gateway of many uses much of its quota at all of them.
+        A customer that often reaches one gateway of many uses much of its quota at all of them.
         """
         return (
             self.admitted_optimistically
@@ -175,16 +173,17 @@
         )
 
     def ceiling_confirmed(self, now: float, units: float, units_counted: bool) -> bool:
-        """Returns whether a total of this moment shows room for a request under the whole ceiling.
+        """Returns whether a total received at `now` shows capacity under the whole ceiling.
 
-        The total holds the request's units and those of all calls before it.  What the other
-        gateways' slices may hold is left to them: those stay good whatever was lent, because what
-        one of them sends, reported or not, takes as much from both.
+        The total includes the request's units and those of all calls before it.  The units that
+        the slices of other gateways may hold are left to those gateways: the slices remain valid
+        whatever was lent, because each unit that such a gateway sends, reported or not, is taken
+        from both.
 
         Args:
-            now: the time in seconds.
-            units: what the request costs.
-            units_counted: whether the total holds them.
+            now: The time in seconds.
+            units: The cost of the request.
+            units_counted: Whether the total includes them.
         """
         others_reserve = self.ceiling_reserve * (self.gateway_count - 1) / self.gateway_count
         estimate = self.estimate
@@ -196,14 +195,19 @@
         return units_counted and self.reliable_total_at == now and capacity >= units
 
     def consume_ceiling(self, units: float) -> None:
-        """Spends units of the ceiling's slice, down to a debt of one burst.
+        """Takes units from the ceiling's slice, down to a debt of one burst.
 
-        What was sent on a total must not be sent again from the slices when the counter fails.
+        Units that were sent on the strength of a total must not be sent again from the slices
+        when the counter fails.
         """
         self.ceiling.level = max(-self.plan.burst, self.ceiling.level - units)
 
     def settle(self, units: float) -> None:
-        """Takes, or gives back below zero, what a request cost beyond its estimated units."""
+        """Takes the difference between a request's true and estimated units, or returns it.
+
+        Args:
+            units: The true units minus the estimated ones; negative to return units.
+        """
         self.estimate.own_units += units
         self.slice.level = min(max(self.slice.capacity, self.slice.level), self.slice.level - units)
         self.unreported_units += 0.0 if self.decided_by_counter else units
--- a/ingress/policy/load_balancer.py
+++ b/ingress/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""Load balancing: which backend the next attempt of a request is sent to."""
+"""Load balancing: selects the backend for the next attempt of a request."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from ingress.policy.slow_start import SlowStart
 
 INITIAL_ATTEMPTS_PER_BACKEND: Final = 12.0
-"""Attempts in flight that each backend gets from all gateways before its first responses."""
+"""Attempts in flight that all gateways together may send to each backend before any response."""
 SUBSET_SIZE: Final = 12
-"""Backends that a gateway prefers: few enough to learn of each, many enough to lose some."""
+"""Preferred backends per gateway: few enough to learn about each, many enough to lose some."""
 MIN_ELIGIBLE_SHARE: Final = 0.5
-"""Of the usable backends: ejection never leaves fewer."""
+"""Share of the usable backends below which ejection never reduces the eligible ones."""
 
 
 class LoadBalancer:
-    """The backends, and the choice between them.
+    """The backends and the choice between them.
 
     Attributes:
-        backends: all known backends by name, in the order in which they came.
-        ready: those that the endpoint list holds as ready.
-        subset: those of them that this gateway prefers, by rendezvous hashing, so that what it
-            learns is of use.
-        concurrency: the limit on all attempts in flight from here.
-        slow_start: limits what backends that are warming up get.
+        backends: All known backends by name, in order of discovery.
+        ready: The backends that the endpoint list names as ready.
+        subset: The ready backends that this gateway prefers, chosen by rendezvous hashing, so that
+            its measurements of each are meaningful.
+        concurrency: The limit on all attempts in flight from this gateway.
+        slow_start: The limit on attempts at backends that are warming up.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, cost: RequestCost) -> None:
@@ -47,7 +47,7 @@
         self.subset: list[BackendState] = []
 
     def backends_changed(self, event: BackendsChanged, now: float) -> None:
-        """Takes over a change of the endpoint list; a failed poll changes nothing."""
+        """Applies a change of the endpoint list; a failed poll changes nothing."""
         if event.kind is EndpointListKind.UNAVAILABLE:
             return
         named = {entry.id for entry in event.backends}
@@ -59,8 +59,8 @@
         self.ready = [target for target in self.backends.values() if target.is_ready]
         self.subset = sorted(self.ready, key=self._rendezvous_hash)[:SUBSET_SIZE]
         self.slow_start.backends_changed(self.ready)
-        # Nothing is known yet of the backends, so each gets as much as all gateways together may
-        # bring it.
+        # The backends' capacity is still unknown, so each receives as much as all gateways
+        # together may send it.
         self.concurrency.start(
             INITIAL_ATTEMPTS_PER_BACKEND * len(self.ready) / self.settings.gateway_count
         )
@@ -76,7 +76,7 @@
             target.is_ready = entry.readiness is Readiness.READY
 
     def _drop_removed(self, named: set[str]) -> None:
-        """Forgets backends that are gone and hold nothing."""
+        """Drops backends that are no longer listed and have no attempts in flight."""
         unused = [
             name
             for name, target in self.backends.items()
@@ -90,16 +90,16 @@
         return crc32(f"{self.settings.gateway_index} {target.backend.id}".encode())
 
     def set_ejected_by_peers(self, names: tuple[str, ...], until: float) -> None:
-        """Sends nothing to these backends until a time in seconds: other gateways probe them."""
+        """Ejects these backends until a time in seconds, while other gateways probe them."""
         for name in names:
             target = self.backends.get(name)
             if target is not None:
                 target.ejected_by_peers_until = until
 
     def choose(self, request: RequestState, now: float) -> BackendState | None:
-        """Returns the backend for the next attempt, of the subset if one of it may get it.
+        """Returns the backend for the next attempt, from the subset if possible.
 
-        What a backend that is warming up gets is taken off its budget.
+        Takes the attempt's work from the backend's warm-up budget if the backend is warming up.
         """
         return self._choose_among(request, now, self.subset) or self._choose_among(
             request, now, self.ready
@@ -110,19 +110,19 @@
     ) -> BackendState | None:
         tried = {attempt.target.backend.id for attempt in request.attempts}
         usable = targets
-        if request.attempts or request.cell:  # nothing stands against a first attempt
+        if request.attempts or request.cell:  # a first attempt may use any backend
             usable = [
                 target for target in targets if request.may_attempt(target, now, self.settings)
             ]
-        untried_left = len(usable) > len(tried)
+        has_untried = len(usable) > len(tried)
         mean_latency = self.cost.mean_latency(request.request_class)
         decay_time = self.cost.longest_objective
         best: BackendState | None = None
         best_score = float("inf")
         for target in self._eligible(usable, now):
-            if untried_left and target.backend.id in tried:
+            if has_untried and target.backend.id in tried:
                 continue
-            chance = -log(1.0 - self.rng.random())  # exponentially distributed, mean 1
+            chance = -log(1.0 - self.rng.random())  # exponentially distributed with mean 1
             score = target.load_score(now, mean_latency, decay_time, self.settings.zone, chance)
             if score < best_score and self._is_warm_enough(target, now, request):
                 best = target
@@ -132,7 +132,7 @@
         return best
 
     def _eligible(self, usable: list[BackendState], now: float) -> list[BackendState]:
-        """Returns the backends that are neither stalled nor ejected, unless few are left."""
+        """Returns the backends that are neither stalled nor ejected, unless too few remain."""
         slowest = self.cost.slowest_mean_latency()
         healthy = [
             target
@@ -142,8 +142,8 @@
         ]
         if len(healthy) >= MIN_ELIGIBLE_SHARE * len(usable):
             return healthy
-        # So many fail that the cause is likely shared.  One that refuses connections at once stays
-        # out: it would draw everything.
+        # When so many backends fail, the cause is probably shared.  A backend that refuses
+        # connections stays excluded: it fails immediately and would attract all traffic.
         return [target for target in usable if target in healthy or not target.unreachable]
 
     def _is_warm_enough(self, target: BackendState, now: float, request: RequestState) -> bool:
--- a/ingress/policy/load_shedding.py
+++ b/ingress/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: how much to reject when capacity lacks, and which requests go first."""
+"""Load shedding: how many requests to reject when capacity is short, and which ones first."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from ingress.policy.request_state import RequestState
 
 SHEDDING_UTILIZATION: Final = 0.55
-"""Of the concurrency limit: past it load is shed, the least valuable first."""
+"""Share of the concurrency limit above which load is shed, the least valuable requests first."""
 RECENT_REQUESTS: Final = 256
-"""How many requests a new one's value is compared with."""
+"""Number of recent requests with which a new request's value is compared."""
 
 
 class LoadShedder:
-    """Decides how much load to shed and ranks requests by value for their work.
+    """Decides how much load to shed and ranks requests by value per unit of work.
 
     Attributes:
-        shed_fraction: the share that the fleet sheds; it holds until `shed_fraction_until`, in
-            seconds.
+        shed_fraction: The share of requests that the fleet sheds.
+        shed_fraction_until: The time in seconds until which `shed_fraction` applies.
     """
 
     def __init__(self, load_balancer: LoadBalancer, cost: RequestCost) -> None:
@@ -33,7 +33,7 @@
         self._sorted_values: list[float] = []
 
     def pressure(self, now: float) -> float:
-        """Returns the share of requests to shed; below zero there is spare capacity."""
+        """Returns the share of requests to shed; a negative value means spare capacity."""
         if not self._load_balancer.ready:
             return 1.0
         utilization = self._load_balancer.concurrency.utilization(now)
@@ -43,10 +43,10 @@
         return pressure
 
     def rank(self, now: float, request: RequestState) -> float:
-        """Returns the request's rank among recent ones, from 0, shed first, up to 1.
+        """Returns the request's rank among recent requests, from 0 (shed first) up to 1.
 
-        It is the share of recent requests whose value for their work is smaller, or equal where
-        their customer is shed earlier.
+        The rank is the share of recent requests with a lower value per unit of work, or with an
+        equal value and a customer that is shed earlier.
         """
         self._cost.request_weighed(request.units)
         value = self._value(request)
@@ -60,7 +60,7 @@
         return (smaller + equals_share) / len(self._recent_values)
 
     def _value(self, request: RequestState) -> float:
-        """Returns what a second of a backend's work on the request is worth."""
+        """Returns the value of the request per second of a backend's work."""
         request_class = request.request_class
         weight = request_class.priority_weight * (
             request_class.late_priority_weight if request.past_objective else 1.0
--- a/ingress/policy/outlier_detection.py
+++ b/ingress/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: backends that failed, stalled or were overloaded get nothing."""
+"""Outlier detection: ejects backends that fail, stall or are overloaded."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ingress.policy.events import Outcome
 
 MAX_CONSECUTIVE_FAILURES: Final = 3
-"""Errors or timeouts in a row that eject a backend."""
+"""Consecutive errors or timeouts that eject a backend."""
 MAX_EJECTION_DOUBLINGS: Final = 4
 STALL_LATENCIES: Final = 4.0
-"""Mean latencies: a backend that holds attempts and is silent for longer has stalled."""
+"""Mean latencies of silence, with attempts in flight, after which a backend has stalled."""
 
 
 def record_success(target: BackendState) -> None:
-    """Ends an ejection: the backend has answered."""
+    """Ends an ejection after a response from the backend."""
     target.consecutive_failures = 0
     target.unreachable = False
     target.consecutive_overloads = 0
@@ -23,24 +23,25 @@
 
 
 def record_failure(target: BackendState, now: float, outcome: Outcome, timeout: float) -> None:
-    """Counts a failed attempt and ejects the backend where that is called for.
+    """Counts a failed attempt and ejects the backend if necessary.
 
-    A dead or stuck backend looks idle and would draw all traffic.  Refused and broken connections
-    count at the first sign, other failures after several in a row.  Each further failure doubles
-    the ejection, after which a single attempt tries the backend.
+    A dead or stuck backend looks idle and would attract all traffic.  A refused or broken
+    connection ejects it immediately, other failures only after several in a row.  Each further
+    failure doubles the ejection time, after which a single attempt tests the backend.
 
     Args:
-        target: the backend that the attempt was sent to.
-        now: the time in seconds.
-        outcome: how the attempt ended.
-        timeout: the longest latency objective in seconds; ejections are multiples of its half.
+        target: The backend to which the attempt was sent.
+        now: The time in seconds.
+        outcome: The outcome of the attempt.
+        timeout: The longest latency objective in seconds; ejection times are multiples of half
+            of it.
     """
     if outcome is Outcome.OVERLOADED and target.latency_share >= BUSY_LATENCY_SHARE:
         target.ejected_until = max(target.ejected_until, now + timeout / 4)
         return
-    # A draining backend that a late endpoint list still holds as ready turns everything away at
-    # once and looks idle.  A single request that is turned away says nothing of the load: others
-    # are answered quickly.
+    # A draining backend that an outdated endpoint list still names as ready rejects everything
+    # immediately and looks idle.  A single rejection says nothing about the backend's load while
+    # other requests are answered quickly.
     if outcome is Outcome.OVERLOADED:
         target.consecutive_overloads += 1
     else:
@@ -57,7 +58,7 @@
 
 
 def is_ejected(target: BackendState, now: float) -> bool:
-    """Returns whether nothing more may be sent: after an ejection, one attempt at a time."""
+    """Returns whether no further attempt may be sent; after an ejection, one at a time may be."""
     failing = target.unreachable or target.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
     return now < max(target.ejected_until, target.ejected_by_peers_until) or (
         failing and bool(target.in_flight)
@@ -65,8 +66,8 @@
 
 
 def is_stalled(target: BackendState, now: float, mean_latency: float) -> bool:
-    """Returns whether it holds attempts and has been silent for several mean latencies.
+    """Returns whether attempts are in flight without a response for several mean latencies.
 
-    A backend that died silently, or runs many times slower, looks idle until a deadline passes.
+    A backend that died silently, or runs many times slower, looks idle until a deadline expires.
     """
     return target.silent_for(now) > STALL_LATENCIES * mean_latency
--- a/ingress/policy/shed_order.py
+++ b/ingress/policy/shed_order.py
@@ -1,8 +1,9 @@
-"""The order in which customers of equal worth are rejected, which every gateway derives alike.
+"""The order in which customers of equal value are rejected, which all gateways compute identically.
 
-If each gateway drew for itself, a customer rejected at one would be admitted at the next, and no
-load would be shed.  Ranks change with time, so that nobody is always the first to be rejected; each
-customer's at a moment of its own, so that gateways whose clocks differ disagree about few.
+If each gateway chose at random, a customer rejected at one gateway would be admitted at the next,
+and no load would be shed.  Ranks change over time so that no customer is always rejected first.
+Each customer's rank changes at a different moment, so that gateways whose clocks differ disagree
+about few customers.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 from typing import Final
 
 RANK_PERIOD_S: Final = 60.0
-"""How long a rank holds."""
+"""Time for which a rank is valid."""
 
 _OFFSETS: Final = 1009
 _DIGEST_BYTES: Final = 4
 
 
 def shed_rank(key_number: int, now: float) -> tuple[float, float]:
-    """Returns a customer's rank, from 0 for the first to be rejected up to 1, and when it ends.
+    """Returns a customer's rank, from 0 (rejected first) up to 1, and the time at which it ends.
 
     Args:
-        key_number: The customer's number, from `counter_keys.key_number`.
-        now: Unix time in seconds, which all machines read.
+        key_number: The customer's number from `counter_keys.key_number`.
+        now: Unix time in seconds, which is the same on all machines.
     """
     offset = key_number % _OFFSETS / _OFFSETS
     period = int(now / RANK_PERIOD_S + offset)
--- a/ingress/policy/slow_start.py
+++ b/ingress/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: what backends that started recently may be sent.
+"""Slow start: limits attempts at backends that started recently.
 
-A warming backend that all gateways fill at once collapses and stays down.  Each gateway keeps to
-its own part of what it bears: what backends carry from here when warm, by what a warming one bears
-of that.
+A warming backend that all gateways load at once collapses and does not recover.  Each gateway
+limits itself to its own share of the backend's capacity: the rate that warm backends serve for this
+gateway, times the fraction of that rate that a warming backend can serve.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from ingress.policy.settings import Settings
 
 SLOW_START_MARGIN: Final = 0.7
-"""Of what a warming backend bears, all gateways together."""
+"""Share of a warming backend's capacity that all gateways together may use."""
 MIN_WARM_SHARE: Final = 0.5
-"""Of the weight: while fewer backends are warm, the rate known from before holds."""
+"""Share of the total weight; while less of it is warm, the previously measured rate is used."""
 MIN_RATE_WINDOW_S: Final = 1.0
 MIN_COLLAPSE_WINDOW_ATTEMPTS: Final = 0.5
 """Attempts that all gateways together may always send within one collapse window."""
@@ -25,10 +25,9 @@
     """Limits the attempts at backends that are warming up.
 
     Attributes:
-        rate_per_weight: responses per second that this gateway gets for a unit of a warm backend's
-            weight.
-        response_rate: responses per second that this gateway gets, smoothed over a part of the
-            warm-up time.
+        rate_per_weight: Responses per second to this gateway per unit of a warm backend's weight.
+        response_rate: Responses per second to this gateway, smoothed over a part of the warm-up
+            time.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -42,25 +41,25 @@
         self._response_rate_at = 0.0
 
     def backends_changed(self, ready: list[BackendState]) -> None:
-        """Takes over the backends that the endpoint list holds as ready."""
+        """Replaces the backends that the endpoint list names as ready."""
         self._ready = ready
         self._total_weight = sum(target.backend.weight for target in ready)
         self._warm_weight_until = -1e18
 
     def response_received(self, now: float) -> None:
-        """Takes a response into the response rate."""
+        """Adds a response to the response rate."""
         window = max(self._settings.warmup_time / 4, MIN_RATE_WINDOW_S)
         remaining = max(0.0, 1 - (now - self._response_rate_at) / window)
         self.response_rate = self.response_rate * remaining + 1.0 / window
         self._response_rate_at = now
 
     def has_capacity(self, target: BackendState, now: float, work: float) -> bool:
-        """Returns whether a backend that is warming up may be sent a further attempt.
+        """Returns whether a backend that is warming up may receive another attempt.
 
         Args:
-            target: the backend.
-            now: the time in seconds.
-            work: of the request, as a multiple of the mean request's.
+            target: The backend.
+            now: The time in seconds.
+            work: The work of the request as a multiple of the mean request's work.
         """
         budget = target.warmup_budget
         budget.refill_rate = self._refill_rate(target, now)
@@ -68,7 +67,7 @@
         return has_free_slot and budget.has_tokens(now, work, max(1.0, work))
 
     def _refill_rate(self, target: BackendState, now: float) -> float:
-        """Returns the attempts per second that the backend may be sent from here."""
+        """Returns the attempts per second that this gateway may send to the backend."""
         settings = self._settings
         warm_weight = self._current_warm_weight(now)
         if warm_weight >= MIN_WARM_SHARE * self._total_weight:
@@ -89,7 +88,7 @@
     def _current_warm_weight(self, now: float) -> float:
         """Returns the weight of the warm backends.
 
-        It looks at all backends only when the list has changed or one of them has become warm.
+        Iterates over all backends only after the list has changed or a backend has become warm.
         """
         if now < self._warm_weight_until:
             return self._warm_weight
--- a/ingress/policy/token_bucket.py
+++ b/ingress/policy/token_bucket.py
@@ -5,17 +5,17 @@
 from typing import Final
 
 ROUNDING_UNITS: Final = 1e-9
-"""Units by which rounding may leave a level below what was added to it."""
+"""Units by which rounding may leave a level below the sum of the units added to it."""
 
 
 class TokenBucket:
-    """A token bucket that is refilled when it is looked at.
+    """A token bucket that is refilled when it is read.
 
     Attributes:
-        refill_rate: units per second.
-        capacity: units up to which it is refilled.
-        level: units at `updated_at`; below zero it is in debt.
-        updated_at: seconds of the caller's clock.
+        refill_rate: Units added per second.
+        capacity: The level up to which the bucket is refilled.
+        level: The level at `updated_at`; negative if the bucket is in debt.
+        updated_at: The time of the last refill, in seconds of the caller's clock.
     """
 
     def __init__(self, refill_rate: float, capacity: float, level: float, now: float) -> None:
@@ -28,10 +28,10 @@
         """Refills the bucket and returns whether it holds `units`.
 
         Args:
-            now: the time in seconds.
-            units: how much is asked for; nothing is taken.
-            capacity: refills up to this many units in place of the bucket's own capacity.  A level
-                that is above it already is kept.
+            now: The time in seconds.
+            units: The units required; none are taken.
+            capacity: The level up to which the bucket is refilled instead of its own capacity.  A
+                higher level is kept.
         """
         limit = self.capacity if capacity is None else capacity
         refilled = self.level + self.refill_rate * (now - self.updated_at)
