--- a/ingress/policy/customer.py
+++ b/ingress/policy/customer.py
@@ -23,6 +23,7 @@
 
     The slices hold as much as the quota slices, or at least one request each; the counter lends the
     rest.  If that would leave less than half of the ceiling to lend, the counter lends all of it.
+    """
     one_request_each = gateway_count * max_units
     if 2 * one_request_each > plan.ceiling_burst:
         return 0.0
