--- a/ingress/policy/quota_estimate.py
+++ b/ingress/policy/quota_estimate.py
@@ -1,6 +1,6 @@
-"""What is known of a customer's use at all gateways: a counter key's ledger, a quota's estimate.
+"""Tracks a customer's use at all gateways: the ledger of a counter key, the estimate of a quota.
 
-Units are those of requests; points in time are seconds of the clock that the gateway is driven by.
+Units are request units; times are in seconds of the clock that drives the gateway.
 """
 
 from __future__ import annotations
@@ -12,35 +12,38 @@
 from ingress.policy.settings import Plan
 
 FRESH_FRACTION: Final = 0.5
-"""Of the time that a burst takes to fill: how long what is known of others' use is believed."""
+"""Fraction of a burst's refill time for which information on other gateways' use is trusted."""
 NEVER: Final = -1e18
-"""A point in time before all others."""
+"""A point in time before every other."""
 KEY_EXPIRY_MARGIN_S: Final = 5.0
-"""Before the counter may forget a key in which it is not read any more."""
+"""Time before the counter may forget a key from which the key is no longer read."""
 UNLIMITED_MAX_AGE_S: Final = 1.0
-"""How long others' use is believed where the plan has no rate."""
+"""Time for which other gateways' use is trusted if the plan has no rate."""
 
 
 class CounterLedger:
-    """What this gateway added under one counter key, and what totals said of the others.
+    """Units added under one counter key: by this gateway, and by others as derived from totals.
 
-    A total below what the ledger holds tells that the counter was replaced, by an empty or an older
-    one.  What was lost with it is kept here and added to all later totals, so that what was known
-    stays known.
+    A total below the ledger's units shows that the counter was replaced by an empty or an older
+    one.  The ledger keeps the units lost with it and adds them to all later totals, so that known
+    use is not lost.
 
     Attributes:
         key: The counter key.
-        valid_from: When the key began to serve.
-        own_units: Counted as added here: what was answered, and what had no answer in time.
-        uncertain_units: The part of `own_units` without an answer, which may not have been added.
-        hidden_units: The part of the last total that is others' use if what was uncertain before it
-            was not added.
-        others_units: What others added, as far as is known.
-        lost_units: What went with counters that were replaced.
-        missing_units: What the last total showed not to have been added: it is to be added again.
-        last_total_at: When a total last came.
-        replacements: How often the counter was replaced.
-        closed: Whether the key was read for the last time.
+        valid_from: The time from which the key is used.
+        own_units: Units counted as added by this gateway: in calls with a reply and in calls that
+            timed out.
+        uncertain_units: The part of `own_units` from calls without a reply, which may not have been
+            added.
+        hidden_units: The part of the last total that other gateways used if the units uncertain
+            before it were not added.
+        others_units: Units added by other gateways, as far as known.
+        lost_units: Units lost with replaced counters.
+        missing_units: Units that the last total proved not to have been added; they are to be added
+            again.
+        last_total_at: The time of the last total.
+        replacements: The number of detected replacements of the counter.
+        closed: Whether the key has been read for the last time.
     """
 
     def __init__(self, key: int, valid_from: float) -> None:
@@ -57,36 +60,36 @@
         self.closed = False
 
     def has_unread_units(self, now: float, max_age: float) -> bool:
-        """Returns whether what others may have added since the last total is worth a call.
+        """Returns whether units that others may have added since the last total are worth a call.
 
-        It is if that total was still believed, for `max_age` seconds, when all gateways left the
-        key, and the counter has not forgotten the key yet.
+        They are if that total was still trusted (for `max_age` seconds) when all gateways stopped
+        using the key, and if the counter has not forgotten the key yet.
         """
-        left_at = self.valid_from + EPOCH_S
+        epoch_end = self.valid_from + EPOCH_S
         return (
             not self.closed
-            and self.last_total_at > left_at - max_age
-            and now < left_at + EPOCH_S - KEY_EXPIRY_MARGIN_S
+            and self.last_total_at > epoch_end - max_age
+            and now < epoch_end + EPOCH_S - KEY_EXPIRY_MARGIN_S
         )
 
     def call_timed_out(self, added: float) -> None:
-        """Records a call without an answer: most likely it is still worked on and will be added."""
+        """Records a call without a reply, which the counter will most likely still process."""
         self.own_units += added
         self.uncertain_units += max(0.0, added)
 
     def total_received(self, now: float, added: float, total: float, slack: float) -> float:
         """Records a total and returns the units that others used since the last one.
 
-        `missing_units` is then the part of what was uncertain that the total does not hold for
-        certain.  A call without an answer is added late as a rule: adding it again without that
-        proof would load a slow counter and reject requests that have units left.
+        Sets `missing_units` to the uncertain units that the total certainly does not include.  The
+        units of a call without a reply are usually added late: adding them again without that proof
+        would load a slow counter and reject requests that have units left.
 
         Args:
-            now: When it came.
-            added: The units of this call, which the total holds.
-            total: What the counter holds.
-            slack: Units that others may have given back.  Further below what was known, the counter
-                was replaced.
+            now: The time at which the total arrived.
+            added: The units of this call, which the total includes.
+            total: The counter's total.
+            slack: Units that others may have returned.  A total that is lower than the known units
+                by more than this shows that the counter was replaced.
         """
         self.own_units += added
         self.missing_units = 0.0
@@ -108,24 +111,25 @@
 
 
 class QuotaEstimate:
-    """What one customer's token bucket holds with the use of all gateways taken off.
+    """The level of one customer's token bucket after the use of all gateways.
 
-    It is a copy of the whole bucket, not of this gateway's slice, and is believed only for a while.
+    It models the whole bucket, not this gateway's slice, and is trusted only for a limited time.
 
     Attributes:
-        refill_rate: Units per second that flow into the bucket.
-        capacity: Units that it holds at most.
+        refill_rate: Units per second added to the bucket.
+        capacity: The maximum units in the bucket.
         slice_below_request: Whether this gateway's slice is smaller than the largest request.
-        max_age: Seconds for which a total is believed.
+        max_age: Seconds for which a total is trusted.
         level_at_update: The bucket's level at `updated_at`.
-        own_units: Taken from the bucket here since then.
-        others_rate: Units per second that the others use, as totals told.
-        units_since_update: All units used here since then, beyond the quota too.
-        updated_at: The moment that the estimate was last brought up to.
-        last_total_at: When a total last came.
-        quota_share: The part of the bucket that may be given out here.
-        ceiling_lower_bound: Units left under the ceiling at `updated_at` at least: as if whatever
-            was used by then had been used last.
+        own_units: Units taken from the bucket by this gateway since `updated_at`.
+        others_rate: Units per second used by the other gateways, as derived from totals.
+        units_since_update: All units used by this gateway since `updated_at`, including those
+            beyond the quota.
+        updated_at: The time of the last update of the estimate.
+        last_total_at: The time of the last total.
+        quota_share: The share of the bucket that may be given out at this gateway.
+        ceiling_lower_bound: A lower bound of the units left under the ceiling at `updated_at`,
+            which treats all use before then as if it had happened last.
     """
 
     def __init__(self, plan: Plan, now: float, slice_below_request: bool) -> None:
@@ -144,11 +148,14 @@
         self.ceiling_lower_bound = 0.0
 
     def is_fresh(self, now: float) -> bool:
-        """Returns whether the last total is still believed."""
+        """Returns whether the last total is still trusted."""
         return now - self.last_total_at <= self.max_age
 
     def level(self, now: float) -> float:
-        """Returns the units left if the others go on as before, less so the older the total."""
+        """Returns the units left if others continue as before, an assumption that fades with age.
+
+        With a slice below one request the others' rate does not fade.
+        """
         age = now - self.updated_at
         if self.slice_below_request:
             others_units = self.others_rate * age
@@ -158,21 +165,27 @@
         return min(self.capacity, refilled - others_units - self.own_units)
 
     def consume(self, now: float, units: float) -> None:
-        """Takes units; what the bucket does not hold leaves it empty."""
+        """Takes units; units that the bucket does not hold leave it empty."""
         self.own_units += min(units, max(0.0, self.level(now)))
         self.units_since_update += units
 
     def even_share(self, now: float, gateway_count: int) -> float:
-        """Returns this gateway's even part of what the last total left, refilled at its even rate.
+        """Returns this gateway's even share of the last total's remainder, refilled since then.
 
-        When totals stop, slices that were asked about little are full, though what they hold was
-        lent to other gateways: the slice alone would give it out a second time.
+        When totals stop, slices with little use are full, although their units were lent to other
+        gateways: relying on the slice alone would give them out a second time.
         """
         refilled = max(0.0, self.level_at_update) + self.refill_rate * (now - self.updated_at)
         return min(self.capacity, refilled) / gateway_count - self.units_since_update
 
     def total_received(self, now: float, used: float, hidden: float = 0.0) -> None:
-        """Takes off what others used since the last total; they may have used `hidden` more."""
+        """Subtracts the units that others used since the last total.
+
+        Args:
+            now: The time in seconds.
+            used: The units that others used.
+            hidden: Units that others may have used in addition.
+        """
         age = now - self.updated_at
         self._lower_ceiling_bound(age, used, hidden)
         level = self.level_at_update + self.refill_rate * age - self.own_units
@@ -185,8 +198,8 @@
     def _lower_ceiling_bound(self, age: float, used: float, hidden: float) -> None:
         capacity = self.plan.ceiling_burst * self.quota_share
         refilled = self.ceiling_lower_bound + self.plan.ceiling_rate * self.quota_share * age
-        left = min(capacity, refilled) - self.units_since_update - max(0.0, used) - hidden
-        self.ceiling_lower_bound = max(0.0, left)
+        remaining = min(capacity, refilled) - self.units_since_update - max(0.0, used) - hidden
+        self.ceiling_lower_bound = max(0.0, remaining)
 
     def _begin_interval(self, now: float) -> None:
         self.own_units = 0.0
@@ -194,9 +207,9 @@
         self.updated_at = now
 
     def interval_unobserved(self, start: float) -> None:
-        """Lowers the ceiling's bound for a time up to `start` of which no total will tell.
+        """Lowers the ceiling's bound for an interval, up to `start`, that no total will cover.
 
-        They may have used all that was left by then.
+        Other gateways may have used all units that were left by then.
         """
         refilled_late = (
             self.plan.ceiling_rate * self.quota_share * min(0.0, self.updated_at - start)
@@ -204,22 +217,22 @@
         self.ceiling_lower_bound = min(self.ceiling_lower_bound, refilled_late)
 
     def total_uninformative(self, now: float) -> None:
-        """Records a total that tells nothing: others are taken to have gone on as before."""
+        """Records a total without usable information and assumes others continued as before."""
         self.level_at_update = self.level(now)
         self.ceiling_lower_bound = 0.0
         self._begin_interval(now)
         self.last_total_at = now
 
     def reset(self, now: float, level: float, used: float) -> None:
-        """Records the first total on this customer.
+        """Records the first total for this customer.
 
-        A total does not tell when units were used, so that idle time looks like units left: the
-        ceiling's bound takes all of them as used just now.
+        A total does not show when units were used, so idle time looks like units left.  The
+        ceiling's bound therefore treats all of them as used just now.
 
         Args:
-            now: When it came.
-            level: The units that the bucket is taken to hold.
-            used: The units that the total holds.
+            now: The time at which the total arrived.
+            level: The assumed level of the bucket.
+            used: The units that the total includes.
         """
         capacity = self.plan.ceiling_burst * self.quota_share
         self.ceiling_lower_bound = max(0.0, capacity - max(0.0, used))
@@ -228,17 +241,17 @@
         self.last_total_at = now
 
     def set_share(self, now: float, share: float) -> None:
-        """Sets the part of the bucket that may be given out from now on, from 0 to 1.
+        """Sets the share of the bucket that may be given out from now on, from 0 to 1.
 
         Gateways whose totals come from another copy of the counter give out the rest.  When the
-        part grows, what it had left does not.
+        share grows, the remaining level does not.
         """
         if share == self.quota_share:
             return
         level = self.level(now)
         self.level_at_update = min(level, level * share / self.quota_share)
-        left = self.ceiling_lower_bound - self.units_since_update
-        self.ceiling_lower_bound = min(left, left * share / self.quota_share)
+        remaining = self.ceiling_lower_bound - self.units_since_update
+        self.ceiling_lower_bound = min(remaining, remaining * share / self.quota_share)
         self._begin_interval(now)
         self.quota_share = share
         self.refill_rate = self.plan.rate * share
--- a/ingress/policy/quota_reporting.py
+++ b/ingress/policy/quota_reporting.py
@@ -1,4 +1,4 @@
-"""Quota reporting: tells the shared counter of use here and learns others' use by its totals."""
+"""Quota reporting: adds local use to the shared counter and learns others' use from its totals."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from ingress.policy.settings import Settings
 
 COUNT_TOLERANCE_BURSTS: Final = 0.1
-"""By which a count may pass its ends before it is corrected; more while the counter is crowded."""
+"""Bursts by which a count may leave its range before a correction; more with a busy counter."""
 COUNTER_BACKOFF_S: Final = 1.0
-"""Before a customer whose count could not be reached is reported again; half of it at first."""
+"""Delay before a customer with an unreachable count is reported again; half of it at first."""
 REPORT_BURST_SHARE: Final = 1 / 8
 MIN_REPORTS_PER_TICK: Final = 4
-"""To a crowded counter: its replies tell when that is over."""
+"""Reports to a busy counter, whose replies show when it has recovered."""
 MAX_REPORTS_PER_TICK: Final = 24
 UNREACHABLE_REPORT_COST: Final = MAX_REPORTS_PER_TICK // 2
-"""One customer whose count could not be reached stands for others of which that is so."""
+"""Reports that one unreachable count is equal to, since more counts are probably unreachable."""
 
 
 class CounterCall:
-    """A counter call in flight: whose use it reports, and how many units."""
+    """A counter call in flight: the customer whose use it reports, and the units."""
 
     __slots__ = ("customer", "units")
 
@@ -40,24 +40,24 @@
 
 
 class TimedOutCall:
-    """A counter call without a reply in time: whose use it reported, and when it was made."""
+    """A counter call that timed out: the customer whose use it reported, and its start."""
 
-    __slots__ = ("customer", "made_at")
+    __slots__ = ("customer", "sent_at")
 
-    def __init__(self, customer: Customer, made_at: float) -> None:
+    def __init__(self, customer: Customer, sent_at: float) -> None:
         self.customer = customer
-        self.made_at = made_at
+        self.sent_at = sent_at
 
 
 class QuotaReporter:
-    """Reports use to the shared counter and updates the quota estimates by its totals.
+    """Reports use to the shared counter and updates the quota estimates from its totals.
 
     Attributes:
-        enabled: there is a counter.
-        calls: calls in flight by counter key.
-        late_calls: calls that had no reply in time, by counter key.
-        unreported_customers: customers with use that the counter was not told, by id.
-        consistency: the consistency check of the counter.
+        enabled: Whether there is a counter.
+        calls: Calls in flight by counter key.
+        late_calls: Calls that timed out, by counter key.
+        unreported_customers: Customers with unreported use, by ID.
+        consistency: The consistency check of the counter.
     """
 
     def __init__(
@@ -80,19 +80,24 @@
         self.consistency = ConsistencyReporter(settings, throttle, actions)
 
     def mark_unreported(self, customer: Customer) -> None:
-        """Remembers that a customer has use, or corrections, to report."""
+        """Marks a customer as having use, or corrections, to report."""
         self.unreported_customers[customer.customer_id] = customer
 
     def settle(self, customer: Customer, units: float) -> None:
-        """Takes, or gives back below zero, what a request cost beyond its estimated units."""
+        """Takes the difference between a request's true and estimated units, or returns it.
+
+        Args:
+            customer: The customer that sent the request.
+            units: The true units minus the estimated ones; negative to return units.
+        """
         customer.settle(units)
         self.unreported_customers[customer.customer_id] = customer
 
     def return_units(self, now: float, request: RequestState) -> None:
-        """Gives back the units of a request that were counted and not forwarded.
+        """Returns the units of a request that was counted but not forwarded.
 
-        Where many share a count, those beyond the quota stay as its debt.  What was within it and
-        found no capacity at the backends is not the customer's.
+        If gateways share a count, units beyond the quota remain as debt of the count.  Units within
+        the quota are returned: a lack of backend capacity is not charged to the customer.
         """
         customer = request.customer
         if request.units_counted and (
@@ -106,18 +111,18 @@
     def call_counter(
         self, now: float, customer: Customer, requests: tuple[RequestState, ...] = ()
     ) -> bool:
-        """Adds this gateway's use to the customer's count, to learn the total.
+        """Adds this gateway's use to the customer's count in order to learn the total.
 
         Args:
-            now: the time in seconds.
-            customer: whose count it is.
-            requests: those that will wait for the reply.  Their units are added with the call,
-                since two gateways that call at once would both be told of the same units left; so
-                the later sees them.
+            now: The time in seconds.
+            customer: The customer whose count is called.
+            requests: The requests that will wait for the reply.  Their units are added with the
+                call: otherwise two gateways that call at the same time would both receive the same
+                units left, whereas this way the later call's total includes the earlier one's.
 
         Returns:
-            Whether the call is made; not while one is in flight, after a failure, or to a crowded
-            counter.
+            Whether the call is made.  It is not while another call is in flight, during the
+            backoff after a failure, or, with some probability, while the counter is busy.
         """
         if (
             not self.enabled
@@ -135,24 +140,24 @@
         return True
 
     def _count_waiting(self, now: float, request: RequestState) -> None:
-        """Takes a request's units into the use that is reported."""
+        """Adds a waiting request's units to the unreported use."""
         customer = request.customer
         request.units_counted = True
-        # Each call stands for requests like it that were forwarded without one.
-        for_others = (
+        # Each call also represents similar requests that were forwarded without a call.
+        represents_others = (
             customer.decided_by_counter
             and self._optimistic_admission.expected_loss(now, customer) >= 0
         )
-        share = self._throttle.call_share if for_others else 1.0
+        share = self._throttle.call_share if represents_others else 1.0
         customer.unreported_units += request.units / share
 
     def _add_use(self, now: float, customer: Customer) -> None:
-        """Starts the call under the current counter key, or for the last time under the former."""
+        """Starts a call under the current counter key, or a last call under the former key."""
         ledger = customer.ledger
         units = customer.unreported_units
         key, valid_from = counter_keys.counter_key(customer.key_number, now)
         if key != ledger.key and ledger.has_unread_units(now, customer.estimate.max_age):
-            # What others added under the former key after its last total would never be known.
+            # Units that others added under the former key after its last total would be missed.
             ledger.closed = True
             key = ledger.key
             units = 0.0
@@ -166,11 +171,11 @@
         self._actions.append(AddToCounter(key, round(units, 3), counter_keys.KEY_LIFETIME_S))
 
     def reply_received(self, now: float, event: CounterReply) -> Customer | None:
-        """Takes in the outcome of a counter call.
+        """Processes the outcome of a counter call.
 
         Returns:
-            The customer whose waiting requests can be decided; None if the reply concerns no such
-            call.
+            The customer whose waiting requests can be decided, or None if the reply does not belong
+            to such a call.
         """
         check = self.consistency.checks.check_of(event.key)
         if check is not None:
@@ -189,15 +194,15 @@
         return call.customer
 
     def _is_stale(self, now: float, event: CounterReply, call: CounterCall) -> bool:
-        """Returns whether the reply belongs to a call that was made before the one in flight."""
-        made_at = now - event.latency
-        return made_at < call.customer.counter_called_at - self._settings.tick_interval
+        """Returns whether the reply belongs to a call sent before the one in flight."""
+        sent_at = now - event.latency
+        return sent_at < call.customer.counter_called_at - self._settings.tick_interval
 
     def _record_failure(self, now: float, event: CounterReply, call: CounterCall) -> None:
         customer = call.customer
         if event.outcome is Outcome.CONNECT_FAILED:
-            # Where a part of the counter can't be reached, nothing is crowded: this customer alone
-            # waits.
+            # An unreachable part of the counter is not an overloaded counter: only this customer
+            # backs off.
             customer.counter_backoff = (
                 COUNTER_BACKOFF_S if customer.counter_backoff else COUNTER_BACKOFF_S / 2
             )
@@ -208,7 +213,7 @@
             customer.unreported_units -= call.units
             customer.ledger.call_timed_out(call.units)
             self.late_calls[event.key] = TimedOutCall(customer, now - event.latency)
-        if customer.unreported_units:  # reported once, with the next call
+        if customer.unreported_units:  # the next call reports them
             self.unreported_customers[customer.customer_id] = customer
 
     def _record_total(self, now: float, event: CounterReply, call: CounterCall) -> None:
@@ -226,12 +231,12 @@
         self._correct_count(now, customer, level)
 
     def _update_estimate(self, now: float, customer: Customer, added: float, total: float) -> float:
-        """Takes a total into the quota estimate; returns the level of the quota that it shows."""
+        """Updates the quota estimate with a total and returns the quota's level that it shows."""
         ledger = customer.ledger
         estimate = customer.estimate
         replacements_before = ledger.replacements
         others_units_before = ledger.others_units
-        # A counter that was replaced since the last total may be another one than before.
+        # A counter that was replaced since the last total may be a different one.
         replaced_at = self.consistency.checks.replaced_at()
         suspect = replaced_at > max(ledger.last_total_at, ledger.valid_from)
         slack = 0.0 if suspect else self._returnable_units(customer)
@@ -245,7 +250,7 @@
         if estimate.last_total_at <= NEVER or customer.decided_by_counter:
             self._update_others_rate(now, customer, ledger.others_units - others_units_before)
             if suspect and not customer.decided_by_counter:
-                # What was used before the replacement is not in the total.
+                # The total does not include use before the replacement.
                 level = min(level, customer.slice.level + customer.plan.rate * (now - replaced_at))
             estimate.reset(now, level, capacity - level + ledger.hidden_units)
         elif ledger.replacements > replacements_before or (
@@ -263,10 +268,10 @@
         estimate.others_rate = max(0.0, others_used) / max(now - since, estimate.max_age)
 
     def _correct_count(self, now: float, customer: Customer, level: float) -> None:
-        """Corrects a shared count that left its range.
+        """Corrects a shared count that has left its range.
 
-        A count knows no ends: idle time adds up to credit, rejections and use beyond the quota to
-        debt.  What this gateway alone counts as lost is no debt of the count.
+        A count is unbounded: idle time accumulates as credit, rejected requests and use beyond the
+        quota as debt.  Units that only this gateway counts as lost are not debt of the count.
         """
         if not customer.decided_by_counter:
             return
@@ -278,21 +283,21 @@
             self.call_counter(now, customer)
 
     def report_due(self, now: float) -> None:
-        """Reports use that no call has reported, the longest unheard customers first.
+        """Reports use that no call has reported, starting with the oldest totals.
 
-        Hundreds of gateways that report everything once a counter is back would overload it again:
-        the more it is crowded, the fewer customers are reported at a time.
+        If hundreds of gateways reported everything once a counter recovers, they would overload it
+        again: the busier the counter, the fewer customers are reported per tick.
         """
         if not self.enabled:
             return
         call_share = self._throttle.call_share
         due = [c for c in self.unreported_customers.values() if self._is_due(c, call_share)]
         due.sort(key=lambda customer: customer.ledger.last_total_at)
-        left = max(MIN_REPORTS_PER_TICK, int(MAX_REPORTS_PER_TICK * call_share))
+        remaining = max(MIN_REPORTS_PER_TICK, int(MAX_REPORTS_PER_TICK * call_share))
         for customer in due:
-            left -= UNREACHABLE_REPORT_COST if customer.counter_backoff else 1
+            remaining -= UNREACHABLE_REPORT_COST if customer.counter_backoff else 1
             self.call_counter(now, customer)
-            if left <= 0:
+            if remaining <= 0:
                 break
 
     def _is_due(self, customer: Customer, call_share: float) -> bool:
@@ -303,16 +308,16 @@
         )
 
     def _returnable_units(self, customer: Customer) -> float:
-        """Returns the units that others, having rejected, may have given back since the total."""
+        """Returns the units that others may have returned, after rejections, since the total."""
         return (
             self._settings.max_units * max(1, customer.gateway_count - 1)
             + COUNT_TOLERANCE_BURSTS * customer.plan.burst
         )
 
     def _record_late_reply(self, now: float, event: CounterReply) -> None:
-        """Takes in a total that came after its timeout.
+        """Processes a total that arrived after its timeout.
 
-        It is true for when the call was made, if nothing was added since.
+        It is valid for the time of the call if nothing has been added since.
         """
         call = self.late_calls.pop(event.key, None)
         if call is None or event.outcome is not Outcome.OK or call.customer.decided_by_counter:
@@ -321,7 +326,7 @@
         ledger = customer.ledger
         if (
             ledger.key == event.key
-            and ledger.last_total_at < call.made_at
+            and ledger.last_total_at < call.sent_at
             and customer.counter_called_at <= NEVER
         ):
             self.consistency.checks.late_totals += 1
