--- a/ingress/policy/counter_throttle.py
+++ b/ingress/policy/counter_throttle.py
@@ -18,9 +18,9 @@
 QUICK_REPLY_SHARE: Final = 0.25
 """Share of the counter's timeout: a counter that replies sooner has spare capacity."""
 CEILING_CALL_FACTOR: Final = 2.0
-"""Factor on the share of calls about ceilings, which must hold even with a busy counter."""
+"""Factor on the share of calls about ceilings, which must hold under overload."""
 COUNTER_SILENCE_TIMEOUT_S: Final = 1.0
-"""After this time without any reply the counter is treated as down, not busy."""
+"""After this time without any reply the counter is treated as down, not overloaded."""
 
 
 class CounterThrottle:
--- a/ingress/policy/quota_estimate.py
+++ b/ingress/policy/quota_estimate.py
@@ -16,7 +16,7 @@
 NEVER: Final = -1e18
 """A point in time before every other."""
 KEY_EXPIRY_MARGIN_S: Final = 5.0
-"""Time before the counter may forget a key from which the key is no longer read."""
+"""Margin before the counter may forget a key, within which the key is no longer read."""
 UNLIMITED_MAX_AGE_S: Final = 1.0
 """Time for which other gateways' use is trusted if the plan has no rate."""
 
--- a/ingress/policy/quota_reporting.py
+++ b/ingress/policy/quota_reporting.py
@@ -18,15 +18,15 @@
 from ingress.policy.settings import Settings
 
 COUNT_TOLERANCE_BURSTS: Final = 0.1
-"""Bursts by which a count may leave its range before a correction; more with a busy counter."""
+"""Bursts by which a count may leave its range before a correction; more under overload."""
 COUNTER_BACKOFF_S: Final = 1.0
 """Delay before a customer with an unreachable count is reported again; half of it at first."""
 REPORT_BURST_SHARE: Final = 1 / 8
 MIN_REPORTS_PER_TICK: Final = 4
-"""Reports to a busy counter, whose replies show when it has recovered."""
+"""Reports to an overloaded counter, whose replies show when it has recovered."""
 MAX_REPORTS_PER_TICK: Final = 24
 UNREACHABLE_REPORT_COST: Final = MAX_REPORTS_PER_TICK // 2
-"""Reports that one unreachable count is equal to, since more counts are probably unreachable."""
+"""Number of reports that an unreachable count uses up: more counts are probably unreachable."""
 
 
 class CounterCall:
@@ -122,7 +122,7 @@
 
         Returns:
             Whether the call is made.  It is not while another call is in flight, during the
-            backoff after a failure, or, with some probability, while the counter is busy.
+            backoff after a failure, or, with some probability, while the counter is overloaded.
         """
         if (
             not self.enabled
@@ -286,7 +286,7 @@
         """Reports use that no call has reported, starting with the oldest totals.
 
         If hundreds of gateways reported everything once a counter recovers, they would overload it
-        again: the busier the counter, the fewer customers are reported per tick.
+        again: the more overloaded it is, the fewer customers are reported per tick.
         """
         if not self.enabled:
             return
