--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -1,4 +1,4 @@
-"""Ceilings hold over all gateways, whatever the order in which use is made, told and heard of."""
+"""Ceilings hold across all gateways for any order of use, reports and replies."""
 
 from __future__ import annotations
 
@@ -35,15 +35,14 @@
 
 from .conftest import FLEET, SETTINGS
 
-COUNT = 3
-CLOSE = Plan("basic", rate=2.0, burst=6.0, ceiling_rate=2.6, ceiling_burst=7.8)
-WIDE = replace(
-    CLOSE, burst=2.0
-)  # a slice of the quota is under one request, one of the ceiling is not
-FEW = replace(
+GATEWAY_COUNT = 3
+NARROW_CEILING = Plan("basic", rate=2.0, burst=6.0, ceiling_rate=2.6, ceiling_burst=7.8)
+# A slice of the quota is smaller than one request, a slice of the ceiling is not.
+SMALL_BURST = replace(NARROW_CEILING, burst=2.0)
+THREE_GATEWAYS = replace(
     SETTINGS,
-    plans=(CLOSE,),
-    gateway_count=COUNT,
+    plans=(NARROW_CEILING,),
+    gateway_count=GATEWAY_COUNT,
     counter_available=True,
     counter_timeout=0.05,
     max_units=1.0,
@@ -51,28 +50,38 @@
 Step = tuple[str, int, float]
 
 
-class Few:
-    """Real gateways round one counter; calls are made, added and answered step by step."""
+class CeilingFleet:
+    """Real gateways that share one counter, with calls sent, added and answered step by step."""
 
-    def __init__(self, plan: Plan, most: float) -> None:
-        """`most`: units of a request; with 2 the ceiling's slices are too small, all is lent."""
-        # Three seconds before the customer's count begins a new name.
+    def __init__(self, plan: Plan, max_units: float) -> None:
+        """Creates the gateways and an empty counter.
+
+        Args:
+            plan: The customer's plan.
+            max_units: The maximum units of a request.  With 2 the ceiling's slices are too small,
+                so the counter lends the whole ceiling.
+        """
+        # Start three seconds before the customer's counter key changes.
         self.plan = plan
         _, valid_from = counter_keys.counter_key(counter_keys.key_number("c"), 100.0)
         self.now = valid_from + counter_keys.EPOCH_S - 3.0
         self.count = 0
-        self.settings = replace(FEW, plans=(plan,), max_units=most)
+        self.settings = replace(THREE_GATEWAYS, plans=(plan,), max_units=max_units)
         self.level = plan.ceiling_burst
-        self.lowest = plan.ceiling_burst
+        self.min_level = plan.ceiling_burst
         self.updated_at = self.now
-        self.sent = 0
+        self.forwarded = 0
         self.totals: dict[int, float] = {}
-        self.calls: list[deque[tuple[AddToCounter, float, float]]] = [deque() for _ in range(COUNT)]
-        self.added: list[deque[tuple[AddToCounter, float, float]]] = [deque() for _ in range(COUNT)]
-        self.slow: deque[AddToCounter] = deque()
-        self.gateways = [self.fresh(n) for n in range(COUNT)]
-
-    def fresh(self, number: int) -> Gateway:
+        self.calls: list[deque[tuple[AddToCounter, float, float]]] = [
+            deque() for _ in range(GATEWAY_COUNT)
+        ]
+        self.added: list[deque[tuple[AddToCounter, float, float]]] = [
+            deque() for _ in range(GATEWAY_COUNT)
+        ]
+        self.timed_out: deque[AddToCounter] = deque()
+        self.gateways = [self.new_gateway(n) for n in range(GATEWAY_COUNT)]
+
+    def new_gateway(self, number: int) -> Gateway:
         gateway = Gateway(replace(self.settings, gateway_index=number), number)
         gateway.handle(self.now, BackendsChanged(EndpointListKind.RESTORED, tuple(FLEET)))
         gateway.counter_throttle.call_share = 1.0
@@ -83,7 +92,7 @@
             if isinstance(action, AddToCounter):
                 self.calls[number].append((action, self.now, 0.0))
             elif isinstance(action, StartAttempt):
-                self.take()
+                self.take_unit()
                 self.handle(
                     number,
                     AttemptEnded(
@@ -91,59 +100,59 @@
                     ),
                 )
 
-    def take(self) -> None:
+    def take_unit(self) -> None:
         refilled = self.level + self.plan.ceiling_rate * (self.now - self.updated_at)
         self.level = min(self.plan.ceiling_burst, refilled) - 1.0
-        self.sent += 1
+        self.forwarded += 1
         self.updated_at = self.now
-        self.lowest = min(self.lowest, self.level)
+        self.min_level = min(self.min_level, self.level)
 
-    def play(self, steps: list[Step]) -> float:
-        """Returns the least that was ever left under the ceiling."""
+    def run(self, steps: list[Step]) -> float:
+        """Runs the steps and returns the lowest level that the ceiling ever had."""
         for kind, number, seconds in steps:
             if kind == "wait":
                 self.now += seconds
-            elif kind == "ask":
+            elif kind == "request":
                 self.count += 1
                 event = RequestReceived(
-                    str(self.count), "read", "basic", "c", 4.0, gateway_count=COUNT
+                    str(self.count), "read", "basic", "c", 4.0, gateway_count=GATEWAY_COUNT
                 )
                 self.handle(number, event)
             elif kind == "tick":
                 self.handle(number, TimerFired(TICK_TIMER))
             elif kind == "restart":
-                self.gateways[number] = self.fresh(number)
+                self.gateways[number] = self.new_gateway(number)
                 self.calls[number].clear()
                 self.added[number].clear()
-            elif kind == "after all" and self.slow:
-                self.add(self.slow.popleft())
+            elif kind == "added late" and self.timed_out:
+                self.add(self.timed_out.popleft())
             else:
                 self.advance_call(kind, number)
-        return self.lowest
+        return self.min_level
 
     def advance_call(self, kind: str, number: int) -> None:
-        """One counter call of a gateway is added, answered, given up or fails."""
+        """Adds or answers the oldest counter call of a gateway, or lets it time out or fail."""
         calls = self.calls[number]
         added = self.added[number]
         if kind == "add" and calls:
-            call, made, _ = calls.popleft()
-            added.append((call, made, self.add(call)))
-        elif kind == "told" and added:
-            call, made, total = added.popleft()
-            self.reply(number, call, made, Outcome.OK, total)
-        elif kind == "lost" and added:
-            call, made, _ = added.popleft()
-            self.reply(number, call, made, Outcome.TIMEOUT)
-        elif kind == "late" and calls:  # given up before it is added, some time after or never
-            call, made, _ = calls.popleft()
-            self.reply(number, call, made, Outcome.TIMEOUT)
-            self.slow.append(call)
+            call, sent_at, _ = calls.popleft()
+            added.append((call, sent_at, self.add(call)))
+        elif kind == "reply" and added:
+            call, sent_at, total = added.popleft()
+            self.reply(number, call, sent_at, Outcome.OK, total)
+        elif kind == "reply lost" and added:
+            call, sent_at, _ = added.popleft()
+            self.reply(number, call, sent_at, Outcome.TIMEOUT)
+        elif kind == "timeout" and calls:  # times out before it is added, which may still follow
+            call, sent_at, _ = calls.popleft()
+            self.reply(number, call, sent_at, Outcome.TIMEOUT)
+            self.timed_out.append(call)
         elif kind == "failed" and calls:
-            call, made, _ = calls.popleft()
-            self.reply(number, call, made, Outcome.CONNECT_FAILED)
+            call, sent_at, _ = calls.popleft()
+            self.reply(number, call, sent_at, Outcome.CONNECT_FAILED)
 
     def add(self, call: AddToCounter) -> float:
-        """Adds to the counter; returns the total."""
+        """Adds to the counter and returns the total."""
         total = self.totals.get(call.key, 0.0) + call.amount
         self.totals[call.key] = total
         return total
@@ -152,46 +161,48 @@
         self,
         number: int,
         call: AddToCounter,
-        made: float,
+        sent_at: float,
         outcome: Outcome,
         total: float = 0.0,
     ) -> None:
-        self.handle(number, CounterReply(call.key, outcome, total, self.now - made))
+        self.handle(number, CounterReply(call.key, outcome, total, self.now - sent_at))
 
 
 KINDS = [
-    "ask",
-    "ask",
-    "ask",
+    "request",
+    "request",
+    "request",
     "add",
     "add",
-    "told",
-    "told",
-    "lost",
-    "late",
-    "after all",
+    "reply",
+    "reply",
+    "reply lost",
+    "timeout",
+    "added late",
     "failed",
     "tick",
     "restart",
     "wait",
 ]
-STEP = st.tuples(st.sampled_from(KINDS), st.integers(0, COUNT - 1), st.floats(0.0, 3.0))
+STEP = st.tuples(st.sampled_from(KINDS), st.integers(0, GATEWAY_COUNT - 1), st.floats(0.0, 3.0))
 STEPS = st.lists(STEP, max_size=120)
 
 
 def burst_at(number: int, times: int) -> list[Step]:
-    """Requests at one gateway, each asked about, added and told at once."""
-    return [(kind, number, 0.0) for _ in range(times) for kind in ("ask", "add", "told")]
+    """Returns steps for requests at one gateway, each with a counter call answered at once."""
+    return [(kind, number, 0.0) for _ in range(times) for kind in ("request", "add", "reply")]
 
 
-IDLE: list[Step] = [("ask", n, 0.0) for n in range(COUNT)] + [("wait", 0, 20.0)]
-SLICES: list[Step] = [(kind, n, 0.0) for n in range(COUNT) for kind in ("ask", "ask", "failed") * 4]
+IDLE: list[Step] = [("request", n, 0.0) for n in range(GATEWAY_COUNT)] + [("wait", 0, 20.0)]
+SLICES: list[Step] = [
+    (kind, n, 0.0) for n in range(GATEWAY_COUNT) for kind in ("request", "request", "failed") * 4
+]
 
 
-CROWDED: list[Step] = [(kind, n, 0.0) for n in (1, 2) for kind in ("ask", "late") * 2]
+OVERLOADED: list[Step] = [(kind, n, 0.0) for n in (1, 2) for kind in ("request", "timeout") * 2]
 
 
-# One did not read the old name's end, since what it knew was too old by then.
+# One gateway does not read the former key a last time, since its last total is too old by then.
 UNREAD: list[Step] = [
     *burst_at(1, 1),
     ("wait", 0, 1.9),
@@ -201,105 +212,110 @@
 ]
 
 
+# One gateway borrows as much as it can, then the counter fails.
+@example(IDLE + burst_at(0, 9) + SLICES, 1.0, NARROW_CEILING)
+@example(IDLE + SLICES + burst_at(0, 9), 1.0, NARROW_CEILING)
+@example(UNREAD, 2.0, NARROW_CEILING)
 @example(
-    IDLE + burst_at(0, 9) + SLICES, 1.0, CLOSE
-)  # one was lent all it could be, then the counter fails
-@example(IDLE + SLICES + burst_at(0, 9), 1.0, CLOSE)
-@example(UNREAD, 2.0, CLOSE)
-@example(
-    IDLE + [("ask", 1, 0.0), ("late", 1, 0.0)] * 6 + burst_at(0, 9) + burst_at(1, 9) + SLICES,
+    IDLE
+    + [("request", 1, 0.0), ("timeout", 1, 0.0)] * 6
+    + burst_at(0, 9)
+    + burst_at(1, 9)
+    + SLICES,
     1.0,
-    CLOSE,
+    NARROW_CEILING,
 )
-@example(IDLE + burst_at(0, 9) + CROWDED * 3 + burst_at(0, 9), 1.0, WIDE)
-@given(STEPS, st.sampled_from([1.0, 2.0]), st.sampled_from([CLOSE, WIDE]))
+@example(IDLE + burst_at(0, 9) + OVERLOADED * 3 + burst_at(0, 9), 1.0, SMALL_BURST)
+@given(STEPS, st.sampled_from([1.0, 2.0]), st.sampled_from([NARROW_CEILING, SMALL_BURST]))
 @settings(max_examples=400, deadline=None)
-def test_no_order_of_use_and_totals_passes_a_ceiling(
-    steps: list[Step], most: float, plan: Plan
+def test_ceiling_holds_for_any_order_of_use_and_totals(
+    steps: list[Step], max_units: float, plan: Plan
 ) -> None:
-    assert Few(plan, most).play(steps) >= -1e-6
+    assert CeilingFleet(plan, max_units).run(steps) >= -1e-6
 
 
 def test_one_gateway_of_many_admits_no_more_than_its_slice_of_a_ceiling() -> None:
-    """While a crowded counter leaves its calls unanswered; its quota slice holds no request."""
-    few = Few(WIDE, 1.0)
-    few.play([*burst_at(0, 1), ("wait", 0, 3.0)])
-    before = few.sent
-    few.play(CROWDED)
-    slices = few.sent - before
-    assert 2 <= slices <= int(few.gateways[1].admission.customers["c"].ceiling_reserve)
-    few.play(CROWDED * 3)
-    assert few.sent - before == slices  # not once more than they hold
+    """The counter is overloaded and does not reply; the gateway's quota slice holds no request."""
+    fleet = CeilingFleet(SMALL_BURST, 1.0)
+    fleet.run([*burst_at(0, 1), ("wait", 0, 3.0)])
+    before = fleet.forwarded
+    fleet.run(OVERLOADED)
+    slices = fleet.forwarded - before
+    assert 2 <= slices <= int(fleet.gateways[1].admission.customers["c"].ceiling_reserve)
+    fleet.run(OVERLOADED * 3)
+    assert fleet.forwarded - before == slices  # no more than the slices hold
 
 
 @pytest.mark.interpreted
-def test_lending_what_other_slices_contain_is_detected(
+def test_lending_units_of_other_slices_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seeded fault: a total that shows capacity lends it, whatever the others' slices hold."""
+    """Seeded fault: capacity shown by a total is lent regardless of the other gateways' slices."""
 
-    def all_of_it(self: Customer, now: float, units: float, units_counted: bool) -> bool:
-        known = self.estimate
+    def ignore_other_slices(self: Customer, now: float, units: float, units_counted: bool) -> bool:
+        estimate = self.estimate
         return (
             units_counted
             and self.reliable_total_at == now
-            and known.ceiling_lower_bound - known.units_since_update >= units
+            and estimate.ceiling_lower_bound - estimate.units_since_update >= units
         )
 
-    monkeypatch.setattr(Customer, "ceiling_confirmed", all_of_it)
-    assert Few(CLOSE, 1.0).play(IDLE + burst_at(0, 9) + SLICES) < 0.0
+    monkeypatch.setattr(Customer, "ceiling_confirmed", ignore_other_slices)
+    assert CeilingFleet(NARROW_CEILING, 1.0).run(IDLE + burst_at(0, 9) + SLICES) < 0.0
 
 
 @pytest.mark.interpreted
-def test_taking_an_unread_counter_key_for_unused_is_detected(
+def test_treating_an_unread_counter_key_as_unused_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seeded breach, as it was."""
+    """Seeded fault: an interval without a total does not lower the ceiling's bound."""
     monkeypatch.setattr(QuotaEstimate, "interval_unobserved", lambda *_: None)
-    assert Few(CLOSE, 2.0).play(UNREAD) < 0.0
+    assert CeilingFleet(NARROW_CEILING, 2.0).run(UNREAD) < 0.0
 
 
 def test_a_counter_lends_one_gateway_more_than_its_slice() -> None:
-    few = Few(CLOSE, 1.0)
-    few.play(IDLE + burst_at(0, 5))
-    assert few.level <= CLOSE.ceiling_burst - 3.0  # its slice of the ceiling alone holds two
+    fleet = CeilingFleet(NARROW_CEILING, 1.0)
+    fleet.run(IDLE + burst_at(0, 5))
+    # The gateway's own slice of the ceiling holds two units.
+    assert fleet.level <= NARROW_CEILING.ceiling_burst - 3.0
 
 
 def test_slices_below_one_request_leave_the_ceiling_to_the_counter() -> None:
-    wide = Customer(
+    customer = Customer(
         RequestReceived("r", "read", "basic", "c", 4.0, gateway_count=40),
-        CLOSE,
+        NARROW_CEILING,
         100.0,
         1e9,
         True,
         1.0,
     )
-    assert wide.ceiling_reserve == 0.0
-    assert not wide.ceiling.has_tokens(1e6, 1.0)
-    assert not wide.decided_by_counter
+    assert customer.ceiling_reserve == 0.0
+    assert not customer.ceiling.has_tokens(1e6, 1.0)
+    assert not customer.decided_by_counter
 
 
 def test_ceiling_slices_equal_those_of_the_quota_and_the_rest_is_lent() -> None:
-    roomy = replace(CLOSE, ceiling_rate=6.0, ceiling_burst=18.0)  # three bursts of the quota
-    first = Customer(
+    # Three times the quota's burst.
+    plan = replace(NARROW_CEILING, ceiling_rate=6.0, ceiling_burst=18.0)
+    customer = Customer(
         RequestReceived("r", "read", "basic", "c", 4.0, gateway_count=3),
-        roomy,
+        plan,
         100.0,
         1e9,
         True,
         1.0,
     )
-    assert first.ceiling_reserve == roomy.burst
+    assert customer.ceiling_reserve == plan.burst
 
 
-def test_a_new_process_borrows_as_soon_as_the_ceiling_fills_whatever_its_first_total() -> None:
-    known = QuotaEstimate(CLOSE, 100.0, False)
-    known.reset(100.0, 0.0, 50.0)  # what was used in the whole time of the name
-    known.total_received(102.0, 1.0)
-    assert known.ceiling_lower_bound == pytest.approx(2.0 * CLOSE.ceiling_rate - 1.0)
+def test_a_new_process_borrows_as_the_ceiling_refills_regardless_of_its_first_total() -> None:
+    estimate = QuotaEstimate(NARROW_CEILING, 100.0, False)
+    estimate.reset(100.0, 0.0, 50.0)  # all use under the key so far
+    estimate.total_received(102.0, 1.0)
+    assert estimate.ceiling_lower_bound == pytest.approx(2.0 * NARROW_CEILING.ceiling_rate - 1.0)
 
 
-# Over a fleet, in virtual time
+# A simulated fleet
 
 QUIET = Size(
     gateways=6,
@@ -328,21 +344,21 @@
 SURGE = {QUIET: Fault("load", 5.0, 8.0, 20.0), SMALL_SLICES: Fault("load", 4.0, 8.0, 2.0)}
 
 
-def furthest(monkeypatch: pytest.MonkeyPatch, many: Size, plan: Plan) -> float:
-    """Returns units beyond a ceiling and its slack, the worst of four runs; 0 or less if kept."""
+def max_overrun(monkeypatch: pytest.MonkeyPatch, many: Size, plan: Plan) -> float:
+    """Returns the most units beyond a ceiling and its slack in four runs; 0 or less if it held."""
     plans = (Plan("walk-in", 2.0, 6.0, price=0.9, over_quota_cost=0.8), plan)
-    for part in (size, simulated, customers):
-        monkeypatch.setattr(part, "PLANS", plans)
-        monkeypatch.setattr(part, "PLAN_SHARES", (0.3, 0.7), raising=False)
-    found = [
+    for module in (size, simulated, customers):
+        monkeypatch.setattr(module, "PLANS", plans)
+        monkeypatch.setattr(module, "PLAN_SHARES", (0.3, 0.7), raising=False)
+    results = [
         Simulation(many, (SURGE[many],), seed, policy_gateways()).run().figures()
         for seed in (1, 2, 3, 4)
     ]
-    assert all(figures["over"] > 0.0 for figures in found)  # they asked for more than their quotas
-    return max(float(figures["ceiling"]) for figures in found)
+    assert all(figures["over"] > 0.0 for figures in results)  # demand exceeded the quotas
+    return max(float(figures["ceiling"]) for figures in results)
 
 
-CLOSE_BY = Plan(
+SIMULATED_NARROW_CEILING = Plan(
     "agency",
     5.7,
     16.0,
@@ -352,7 +368,7 @@
     ceiling_burst=20.8,
     ceiling_slack=3.1,
 )
-FAR_OFF = Plan(
+SIMULATED_WIDE_CEILING = Plan(
     "agency",
     6.0,
     8.0,
@@ -361,38 +377,41 @@
     ceiling_rate=15.0,
     ceiling_burst=20.0,
     ceiling_slack=4.25,
-)  # a slice of the quota is under one request
+)  # a slice of the quota is smaller than one request
 
 
-@pytest.mark.parametrize(("many", "plan"), [(QUIET, CLOSE_BY), (SMALL_SLICES, FAR_OFF)])
-def test_a_surge_after_idle_time_passes_no_ceiling(
+@pytest.mark.parametrize(
+    ("many", "plan"), [(QUIET, SIMULATED_NARROW_CEILING), (SMALL_SLICES, SIMULATED_WIDE_CEILING)]
+)
+def test_a_surge_after_idle_time_exceeds_no_ceiling(
     monkeypatch: pytest.MonkeyPatch, many: Size, plan: Plan
 ) -> None:
-    """One gateway borrows the quota's burst, and five then send their slices.
+    """One gateway borrows the quota's burst, and five others then use their slices.
 
-    The second case is a count of customers with slices below one request, where idle time adds up.
+    The second case uses a count of customers with slices below one request, in which idle time
+    accumulates as credit.
     """
-    assert furthest(monkeypatch, many, plan) <= 0.0
+    assert max_overrun(monkeypatch, many, plan) <= 0.0
 
 
-BEGIN = Customer.__init__
+ORIGINAL_INIT = Customer.__init__
 
 
-def follow_count(self: Customer, *args: Any) -> None:
-    BEGIN(self, *args)
+def init_decided_by_counter(self: Customer, *args: Any) -> None:
+    ORIGINAL_INIT(self, *args)
     self.decided_by_counter = True
     self.estimate.slice_below_request = True
 
 
-def by_the_count(self: Customer, now: float, units: float, units_counted: bool) -> bool:
+def confirmed_by_level(self: Customer, now: float, units: float, units_counted: bool) -> bool:
     return units_counted and self.reliable_total_at == now and self.estimate.level(now) >= units
 
 
 @pytest.mark.interpreted
-def test_idle_time_that_adds_up_under_a_ceiling_is_detected(
+def test_idle_time_that_accumulates_as_credit_under_a_ceiling_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seeded fault: slices below one request follow a corrected count even under a ceiling."""
-    monkeypatch.setattr(Customer, "__init__", follow_count)
-    monkeypatch.setattr(Customer, "ceiling_confirmed", by_the_count)
-    assert furthest(monkeypatch, SMALL_SLICES, FAR_OFF) > 0.0
+    """Seeded fault: a corrected count decides for slices below one request even under a ceiling."""
+    monkeypatch.setattr(Customer, "__init__", init_decided_by_counter)
+    monkeypatch.setattr(Customer, "ceiling_confirmed", confirmed_by_level)
+    assert max_overrun(monkeypatch, SMALL_SLICES, SIMULATED_WIDE_CEILING) > 0.0
