--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -53,12 +53,12 @@
 class CeilingFleet:
     """Real gateways that share one counter, with calls sent, added and answered step by step."""
 
-    def __init__(self, plan: Plan, max_units: float) -> None:
+    def __init__(self, plan: Plan, request_units: float) -> None:
         """Creates the gateways and an empty counter.
 
         Args:
             plan: The customer's plan.
-            max_units: The maximum units of a request.  With 2 the ceiling's slices are too small,
+            request_units: The maximum units of a request.  With 2 the ceiling's slices are too small,
                 so the counter lends the whole ceiling.
         """
         # Start three seconds before the customer's counter key changes.
@@ -66,7 +66,7 @@
         _, valid_from = counter_keys.counter_key(counter_keys.key_number("c"), 100.0)
         self.now = valid_from + counter_keys.EPOCH_S - 3.0
         self.count = 0
-        self.settings = replace(THREE_GATEWAYS, plans=(plan,), max_units=max_units)
+        self.settings = replace(THREE_GATEWAYS, plans=(plan,), max_units=request_units)
         self.level = plan.ceiling_burst
         self.min_level = plan.ceiling_burst
         self.updated_at = self.now
@@ -229,9 +229,9 @@
 @given(STEPS, st.sampled_from([1.0, 2.0]), st.sampled_from([NARROW_CEILING, SMALL_BURST]))
 @settings(max_examples=400, deadline=None)
 def test_ceiling_holds_for_any_order_of_use_and_totals(
-    steps: list[Step], max_units: float, plan: Plan
+    steps: list[Step], request_units: float, plan: Plan
 ) -> None:
-    assert CeilingFleet(plan, max_units).run(steps) >= -1e-6
+    assert CeilingFleet(plan, request_units).run(steps) >= -1e-6
 
 
 def test_one_gateway_of_many_admits_no_more_than_its_slice_of_a_ceiling() -> None:
@@ -253,11 +253,11 @@
     """Seeded fault: capacity shown by a total is lent regardless of the other gateways' slices."""
 
     def ignore_other_slices(self: Customer, now: float, units: float, units_counted: bool) -> bool:
-        estimate = self.estimate
+        quota_estimate = self.estimate
         return (
             units_counted
             and self.reliable_total_at == now
-            and estimate.ceiling_lower_bound - estimate.units_since_update >= units
+            and quota_estimate.ceiling_lower_bound - quota_estimate.units_since_update >= units
         )
 
     monkeypatch.setattr(Customer, "ceiling_confirmed", ignore_other_slices)
