--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -58,8 +58,8 @@
 
         Args:
             plan: The customer's plan.
-            request_units: The maximum units of a request.  With 2 the ceiling's slices are too small,
-                so the counter lends the whole ceiling.
+            request_units: The maximum units of a request.  With 2 the ceiling's slices are too
+                small, so the counter lends the whole ceiling.
         """
         # Start three seconds before the customer's counter key changes.
         self.plan = plan
