--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Names and figures come from the settings alone, so drawn ones do as well as any."""
+"""Names and numbers come only from the settings, so randomly drawn ones work like any others."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 
 
 def deployment(rng: random.Random, names: list[str]) -> Settings:
-    """Three classes of drawn effects and times, three plans of which one has a ceiling."""
+    """Returns three classes of random semantics and times, and three plans, one with a ceiling."""
     classes = []
     for name in names[:3]:
-        aim = rng.uniform(0.1, 3.0)
+        objective = rng.uniform(0.1, 3.0)
         classes.append(
             RequestClass(
                 name,
-                aim,
-                aim * rng.uniform(1.5, 4.0),
+                objective,
+                objective * rng.uniform(1.5, 4.0),
                 priority_weight=rng.uniform(0.5, 8.0),
                 late_priority_weight=rng.choice((0.0, 0.3)),
                 semantics=rng.choice(list(RetrySemantics)),
@@ -63,8 +63,10 @@
         )
         for name in names[3:]
     ]
-    which = rng.randrange(3)
-    plans[which] = replace(plans[which], ceiling_rate=30.0, ceiling_burst=90.0, ceiling_slack=9.0)
+    with_ceiling = rng.randrange(3)
+    plans[with_ceiling] = replace(
+        plans[with_ceiling], ceiling_rate=30.0, ceiling_burst=90.0, ceiling_slack=9.0
+    )
     return Settings(
         tuple(classes),
         tuple(plans),
@@ -78,24 +80,31 @@
     )
 
 
-def play(seed: int, names: list[str]) -> list[str]:
-    """All actions of one gateway, which name no class and no plan, over a few drawn seconds."""
+def record_actions(seed: int, names: list[str]) -> list[str]:
+    """Returns the actions of one gateway in a few random seconds, which name no class or plan."""
     rng = random.Random(seed)
-    terms = deployment(rng, names)
-    gateway, now, lines, out = Gateway(terms, seed), 50.0, list[str](), list[tuple[str, int, str]]()
-    tries: dict[str, int] = {}
+    deployed = deployment(rng, names)
+    gateway, now, lines, in_flight = (
+        Gateway(deployed, seed),
+        50.0,
+        list[str](),
+        list[tuple[str, int, str]](),
+    )
+    attempt_counts: dict[str, int] = {}
 
-    def feed(event: Event) -> None:
+    def handle_event(event: Event) -> None:
         for action in gateway.handle(now, event):
             lines.append(f"{now:.6f} {action}")
             if isinstance(action, StartAttempt):
-                out.append((action.request_id, tries.get(action.request_id, 0), action.backend))
-                tries[action.request_id] = tries.get(action.request_id, 0) + 1
+                in_flight.append(
+                    (action.request_id, attempt_counts.get(action.request_id, 0), action.backend)
+                )
+                attempt_counts[action.request_id] = attempt_counts.get(action.request_id, 0) + 1
             elif isinstance(action, AddToCounter):
-                counted.append(action)
+                counter_calls.append(action)
 
-    counted: list[AddToCounter] = []
-    feed(
+    counter_calls: list[AddToCounter] = []
+    handle_event(
         BackendsChanged(
             EndpointListKind.RESTORED,
             tuple(
@@ -107,16 +116,16 @@
     )
     for number in range(150):
         now += rng.expovariate(40.0)
-        what = rng.random()
-        if what < 0.5 or not out:
-            cls, plan = rng.choice(terms.classes), rng.choice(terms.plans)
+        event_choice = rng.random()
+        if event_choice < 0.5 or not in_flight:
+            cls, plan = rng.choice(deployed.classes), rng.choice(deployed.plans)
             customer = rng.randrange(12)
-            feed(
+            handle_event(
                 RequestReceived(
                     f"r{number}",
                     cls.name,
                     plan.name,
-                    f"{terms.plans.index(plan)}-{customer}",
+                    f"{deployed.plans.index(plan)}-{customer}",
                     cls.deadline,
                     1.0,
                     2,
@@ -125,17 +134,17 @@
                     cls.semantics is not RetrySemantics.IDEMPOTENT,
                 )
             )
-        elif what < 0.6 and counted:
-            call = counted.pop(0)
-            feed(CounterReply(call.key, Outcome.OK, rng.uniform(0.0, 30.0), 0.01))
+        elif event_choice < 0.6 and counter_calls:
+            call = counter_calls.pop(0)
+            handle_event(CounterReply(call.key, Outcome.OK, rng.uniform(0.0, 30.0), 0.01))
         else:
-            request, attempt, server = out.pop(rng.randrange(len(out)))
+            request, attempt, backend_id = in_flight.pop(rng.randrange(len(in_flight)))
             outcome = rng.choice(list(Outcome))
-            feed(
+            handle_event(
                 AttemptEnded(
                     request,
                     attempt,
-                    server,
+                    backend_id,
                     outcome,
                     rng.uniform(0.01, 0.5),
                     outcome is Outcome.OK,
@@ -146,51 +155,56 @@
 
 @given(st.integers(0, 1 << 32), NAMES, NAMES)
 @settings(max_examples=40, deadline=None)
-def test_no_name_of_a_class_or_plan_changes_a_decision(
+def test_decisions_do_not_depend_on_class_or_plan_names(
     seed: int, one: list[str], other: list[str]
 ) -> None:
-    assert play(seed, one) == play(seed, other)
+    assert record_actions(seed, one) == record_actions(seed, other)
 
 
 @pytest.mark.interpreted
-def test_a_program_fitted_to_a_name_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seeded breach: what the test above fails on."""
+def test_a_decision_that_depends_on_a_class_name_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Seeded fault, which the test above detects: one class is rejected by its name."""
     from ingress.policy import gateway
 
-    real = gateway.Gateway._dispatch
+    original_dispatch = gateway.Gateway._dispatch
 
-    def fitted(self: gateway.Gateway, now: float, event: Event) -> None:
+    def reject_by_name(self: gateway.Gateway, now: float, event: Event) -> None:
         if isinstance(event, RequestReceived) and event.request_class == "ticket-buy":
             self.actions.append(RejectRequest(event.request_id, 0.0))
         else:
-            real(self, now, event)
+            original_dispatch(self, now, event)
 
-    monkeypatch.setattr(gateway.Gateway, "_dispatch", fitted)
+    monkeypatch.setattr(gateway.Gateway, "_dispatch", reject_by_name)
     names = ["a", "b", "c", "d", "e", "f"]
-    assert any(play(seed, names) != play(seed, ["ticket-buy", *names[1:]]) for seed in range(5))
+    assert any(
+        record_actions(seed, names) != record_actions(seed, ["ticket-buy", *names[1:]])
+        for seed in range(5)
+    )
 
 
 @given(st.integers(0, 1 << 32), NAMES)
 @settings(max_examples=8, deadline=None)
-def test_an_ingress_serves_a_customer_of_drawn_names_and_figures(
-    seed: int, names: list[str]
-) -> None:
+def test_an_ingress_serves_randomly_drawn_names_and_numbers(seed: int, names: list[str]) -> None:
     rng = random.Random(seed)
-    effects = ["safe", "keyed", "unsafe"]
-    rng.shuffle(effects)
-    deadlines = [rng.uniform(5.0, 15.0) for _ in effects]
-    drawn = SETTINGS | {
+    semantics_by_class = ["safe", "keyed", "unsafe"]
+    rng.shuffle(semantics_by_class)
+    deadlines = [rng.uniform(5.0, 15.0) for _ in semantics_by_class]
+    drawn_settings = SETTINGS | {
         "categories": [
             {
                 "name": name,
-                "aim-s": wait / 2,
-                "give-up-s": wait,
+                "aim-s": deadline_s / 2,
+                "give-up-s": deadline_s,
                 "importance": 1 + rng.random(),
-                "semantics": effect,
-                "dedup-window-s": wait,
+                "semantics": semantics_name,
+                "dedup-window-s": deadline_s,
                 "key-scope": rng.choice(("all", "zone", "cell")),
             }
-            for name, effect, wait in zip(names[:3], effects, deadlines, strict=True)
+            for name, semantics_name, deadline_s in zip(
+                names[:3], semantics_by_class, deadlines, strict=True
+            )
         ],
         "contracts": [
             {"name": name, "refill": rng.uniform(5.0, 90.0), "burst": rng.uniform(20.0, 90.0)}
@@ -202,16 +216,16 @@
     async def body() -> None:
         async with (
             backend() as peer,
-            serving(config(entry(peer.address), settings=drawn)) as (_, address),
+            serving(config(entry(peer.address), settings=drawn_settings)) as (_, address),
         ):
             caller = await Caller.to(address)
-            for number, (name, effect, wait) in enumerate(
-                zip(names[:3], effects, deadlines, strict=True)
+            for number, (name, semantics_name, deadline_s) in enumerate(
+                zip(names[:3], semantics_by_class, deadlines, strict=True)
             ):
-                key = ",k=0123456789abcdef" if effect == "keyed" else ""
-                text = f"c={name},t={names[3 + number]},d={wait * 1000:.0f}{key},"
+                key = ",k=0123456789abcdef" if semantics_name == "keyed" else ""
+                text = f"c={name},t={names[3 + number]},d={deadline_s * 1000:.0f}{key},"
                 text += "units=1,spread=1,first=0"
-                verb = b"API.READ" if effect == "safe" else b"API.WRITE"
+                verb = b"API.READ" if semantics_name == "safe" else b"API.WRITE"
                 request = b"%016x" % number
                 assert await caller.ask(resp(verb, b"%016x" % 9, request, text.encode())) == request
             unknown = names[0] + "x" * 31  # longer than any drawn name
