--- a/tests/test_quota_estimate.py
+++ b/tests/test_quota_estimate.py
@@ -1,4 +1,4 @@
-"""Ledger and estimate of a quota, for any order of calls, losses and replacements."""
+"""The ledger and the estimate of a quota, for any order of calls, losses and replacements."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 from .conftest import SETTINGS
 
 PLAN = Plan("p", rate=2.0, burst=8.0)
-CAME_ABOUT: Counter[str] = Counter()  # what the ledger's state machine has seen
+COVERED: Counter[str] = Counter()  # situations that the ledger's state machine has reached
 COUNTING = replace(SETTINGS, gateway_count=3, counter_available=True, counter_timeout=0.05)
 
 
-# The ledger
+# Ledger
 
 
-def test_a_replaced_counter_loses_nothing_that_was_known() -> None:
+def test_known_units_are_kept_when_the_counter_is_replaced() -> None:
     ledger = CounterLedger(1, 0.0)
-    assert ledger.total_received(1.0, 2.0, 10.0, 1.0) == 8.0  # 8 of others
-    # An empty one, with this call's unit alone.
+    assert ledger.total_received(1.0, 2.0, 10.0, 1.0) == 8.0  # others used 8
+    # The new counter is empty and contains only this call's unit.
     assert ledger.total_received(2.0, 1.0, 1.0, 1.0) == 0.0
     assert ledger.replacements == 1
     assert ledger.others_units == 8.0
-    assert ledger.total_received(3.0, 1.0, 5.0, 1.0) == 3.0  # others added 3 since
+    assert ledger.total_received(3.0, 1.0, 5.0, 1.0) == 3.0  # others have since added 3
 
 
-def test_what_others_give_back_is_no_replacement() -> None:
+def test_units_returned_by_others_are_not_a_replacement() -> None:
     ledger = CounterLedger(1, 0.0)
     ledger.total_received(1.0, 0.0, 10.0, 1.0)
     assert ledger.total_received(2.0, 0.0, 9.5, 1.0) == -0.5
@@ -55,12 +55,12 @@
 @pytest.mark.parametrize(
     ("total", "missing", "used"),
     [
-        (14.0, 0.0, 0.0),  # 4 more came: they may be ours
-        (12.0, 2.0, 0.0),  # 2 more: at least 2 of ours were not added
+        (14.0, 0.0, 0.0),  # 4 more units: they may be ours
+        (12.0, 2.0, 0.0),  # 2 more units: at least 2 of ours were not added
         (10.0, 4.0, 0.0),
     ],
 )
-def test_uncertain_units_are_added_again_if_the_next_total_lacks_them_for_certain(
+def test_uncertain_units_are_added_again_only_if_the_next_total_proves_them_missing(
     total: float, missing: float, used: float
 ) -> None:
     ledger = CounterLedger(1, 0.0)
@@ -74,19 +74,19 @@
 def bounds(
     ledger: CounterLedger, uncertain_before: float, now: float, consistent: bool
 ) -> tuple[float, float]:
-    """The least and the most that all gateways have used within the quota under the ledger's key.
+    """Returns bounds of the units that all gateways used within the quota under the ledger's key.
 
-    Within the time that a check takes to notice a change, the most may be too low.
+    Until a check notices a change of the counter, the upper bound may be too low.
 
     Args:
         ledger: The ledger.
-        uncertain_before: Units whose calls had no answer before the last total.
-        now: The time.
-        consistent: Whether no check has noticed another counter, or missing gateways, since the key
-            began to serve.
+        uncertain_before: Units of the calls that timed out before the last total.
+        now: The time in seconds.
+        consistent: Whether no check has detected another counter, or missing gateways, since the
+            key came into use.
     """
     least = ledger.own_units - ledger.uncertain_units - uncertain_before + ledger.others_units
-    most = PLAN.burst + PLAN.rate * (now - ledger.valid_from)  # no more is ever within a quota
+    most = PLAN.burst + PLAN.rate * (now - ledger.valid_from)  # the maximum within a quota
     if consistent and not ledger.replacements:
         unread = PLAN.burst + PLAN.rate * (now - max(ledger.last_total_at, ledger.valid_from))
         most = min(most, ledger.own_units + uncertain_before + ledger.others_units + unread)
@@ -94,22 +94,22 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """One gateway's ledger beside the truth.
+    """Compares one gateway's ledger with the true use.
 
-    Two other gateways use and add; the counter loses answers and calls, is replaced by an empty or
-    an older one, and is partitioned.
+    Two other gateways use units and add them.  The counter loses replies and calls, is replaced by
+    an empty or an older one, and is partitioned.
 
     Attributes:
-        level: Units in the true token bucket.
+        level: The level of the true token bucket.
         used: Units that all gateways have taken from it.
-        unreported: Units used here and not added yet.
-        uncertain_before: Units whose calls had no answer, up to the last total.
-        near_total: What this side's copy of the counter holds.
-        far_total: What the other side's copy holds, while they are partitioned.
-        old_total: What an older copy holds that may replace the counter.
-        check_totals: Totals of the checks, by their index.
-        changed_at: When the counter was last replaced, partitioned or healed.
-        unchanged: Whether it never was replaced or partitioned.
+        unreported: Units used by this gateway and not added yet.
+        uncertain_before: Units of the calls that timed out before the last total.
+        near_total: The total in this side's copy of the counter.
+        far_total: The total in the other side's copy during a partition.
+        old_total: The total in an older copy that may replace the counter.
+        check_totals: The totals of the checks, by index.
+        changed_at: The time at which the counter was last replaced, partitioned or healed.
+        unchanged: Whether the counter was never replaced or partitioned.
     """
 
     def __init__(self) -> None:
@@ -129,7 +129,7 @@
         self.check_totals: dict[int, float] = {}
         self.unchanged = True
         self.next_check_at = 0.0
-        CAME_ABOUT["run"] += 1
+        COVERED["run"] += 1
 
     def use(self, units: float) -> float:
         units = min(units, self.level)
@@ -137,7 +137,7 @@
         self.used += units
         return units
 
-    def long_after_a_change(self) -> bool:
+    def is_long_after_a_change(self) -> bool:
         return self.now - self.changed_at > 4 * CHECK_COUNT * CALL_PERIOD_S
 
     @rule(units=st.sampled_from([0.5, 1.0, 2.0]))
@@ -165,14 +165,14 @@
             self.uncertain_before += self.ledger.uncertain_units
             self.ledger.total_received(self.now, added, self.near_total, 0.0)
             self.unreported += self.ledger.missing_units
-            CAME_ABOUT["added again"] += self.ledger.missing_units > 0
-            CAME_ABOUT["replaced, seen by the ledger"] += self.ledger.replacements > before
+            COVERED["added again"] += self.ledger.missing_units > 0
+            COVERED["replaced, seen by the ledger"] += self.ledger.replacements > before
         else:
             self.ledger.call_timed_out(added)
 
     @rule(seconds=st.sampled_from([0.25, 1.0, 3.0]))
     def wait(self, seconds: float) -> None:
-        """Time passes in steps in which all gateways add to the checks."""
+        """Advances the time in steps of 0.25 s; all gateways add to the checks that are due."""
         for _ in range(int(seconds / 0.25)):
             self.now += 0.25
             self.level = min(PLAN.burst, self.level + PLAN.rate * 0.25)
@@ -211,45 +211,45 @@
     @precondition(lambda self: self.partitioned)
     @rule()
     def heal(self) -> None:
-        """This side's copy outlives; what the others added meanwhile is gone with theirs."""
+        """Keeps this side's copy; units that others added to their copy meanwhile are lost."""
         self.partitioned = False
         self.changed_at = self.now
 
     @invariant()
-    def the_truth_lies_within_the_bounds(self) -> None:
+    def true_use_is_within_the_bounds(self) -> None:
         consistent = self.unchanged and all(
             check.state is not CounterState.PARTITIONED and not check.replacements
             for check in self.consistency.checks
         )
         least, most = bounds(self.ledger, self.uncertain_before, self.now, consistent)
         assert least - 1e-6 <= self.used
-        if self.unchanged or self.long_after_a_change():
+        if self.unchanged or self.is_long_after_a_change():
             assert self.used <= most + 1e-6 + self.unreported
 
     @invariant()
     def a_change_is_noticed_in_time(self) -> None:
-        if self.long_after_a_change() and self.partitioned:
+        if self.is_long_after_a_change() and self.partitioned:
             assert self.consistency.reachable_share(self.now) == pytest.approx(1 / 3)
-            CAME_ABOUT["partitioned, noticed"] += 1
-        if self.long_after_a_change() and not self.partitioned:
+            COVERED["partitioned, noticed"] += 1
+        if self.is_long_after_a_change() and not self.partitioned:
             assert self.consistency.reachable_share(self.now) == 1.0
-            CAME_ABOUT["healed, noticed"] += (
+            COVERED["healed, noticed"] += (
                 self.consistency.checks[0].partitioned_at > 1e17 and not self.unchanged
             )
-        CAME_ABOUT["replaced, seen by a check"] += any(
+        COVERED["replaced, seen by a check"] += any(
             check.replacements for check in self.consistency.checks
         )
-        CAME_ABOUT["uncertain"] += self.ledger.uncertain_units > 0
+        COVERED["uncertain"] += self.ledger.uncertain_units > 0
 
 
-def test_the_ledger_holds_for_any_order_and_all_that_it_is_for_came_about() -> None:
-    CAME_ABOUT.clear()
+def test_the_ledger_bounds_the_use_in_any_order_and_every_situation_is_covered() -> None:
+    COVERED.clear()
     run_state_machine_as_test(
         LedgerMachine, settings=settings(max_examples=150, stateful_step_count=40, deadline=None)
     )
     missing = [
-        what
-        for what in (
+        situation
+        for situation in (
             "added again",
             "replaced, seen by the ledger",
             "replaced, seen by a check",
@@ -257,12 +257,12 @@
             "healed, noticed",
             "uncertain",
         )
-        if not CAME_ABOUT[what]
+        if not COVERED[situation]
     ]
     assert not missing, missing
 
 
-# The estimate
+# Estimate
 
 
 def estimate_of(level: float) -> QuotaEstimate:
@@ -271,34 +271,34 @@
     return estimate
 
 
-def test_a_share_of_the_quota_is_all_that_may_be_given_out() -> None:
+def test_no_more_than_the_share_of_the_quota_is_given_out() -> None:
     estimate = estimate_of(6.0)
     estimate.set_share(0.0, 0.5)
     assert [estimate.level(now) for now in (0.0, 1.0, 10.0)] == [3.0, 4.0, 4.0]
 
 
-def test_a_share_that_grows_gives_nothing_back() -> None:
+def test_a_growing_share_does_not_raise_the_level() -> None:
     estimate = estimate_of(6.0)
     estimate.set_share(0.0, 0.5)
     estimate.set_share(1.0, 1.0)
     assert [estimate.level(now) for now in (1.0, 2.0)] == [4.0, 6.0]
 
 
-def test_the_even_share_of_what_was_left() -> None:
+def test_the_even_share_is_refilled_and_reduced_by_own_use() -> None:
     estimate = estimate_of(6.0)
     estimate.consume(0.0, 1.0)
     assert [estimate.even_share(now, 2) for now in (0.0, 1.0, 50.0)] == [2.0, 3.0, 3.0]
 
 
-CEILED = Plan("p", rate=1.0, burst=5.0, ceiling_rate=2.0, ceiling_burst=8.0)
+CEILING_PLAN = Plan("p", rate=1.0, burst=5.0, ceiling_rate=2.0, ceiling_burst=8.0)
 KINDS = ["wait", "others", "own", "counted", "rejected", "total", "total", "share"]
 STEP = st.tuples(st.sampled_from(KINDS), st.floats(0.0, 4.0))
 STEPS = st.lists(STEP, max_size=40)
 
 
-# What was used before the share changed.
+# Units used before the share changes.
 @example(60.0, 5.0, [("own", 2.0), ("share", 0.0), ("total", 0.0)])
-# Units that were counted and then rejected leave no more than there was.
+# Units that are counted and returned after a rejection do not raise the bound.
 @example(60.0, 30.0, [("counted", 4.0), ("total", 0.0), ("rejected", 0.0), ("total", 0.0)])
 @example(
     0.0,
@@ -310,29 +310,32 @@
 def test_the_ceilings_lower_bound_is_never_more_than_what_is_left(
     age: float, before: float, steps: list[tuple[str, float]]
 ) -> None:
-    """The true bucket of a ceiling against its bound, in whatever order it is used and told of.
+    """Compares the bound with the true bucket of a ceiling for any order of use and totals.
 
-    The counter key is `age` seconds old at the first total, and idle time lies before what was used
-    under it.  Other gateways count units when they ask, and take them off again where they reject.
+    The counter key is `age` seconds old at the first total, and idle time precedes the use under
+    it.  Other gateways count units with their call, and return them when they reject the request.
     """
     now = 100.0
-    left = CEILED.ceiling_burst - min(before, CEILED.ceiling_burst)
+    remaining = CEILING_PLAN.ceiling_burst - min(before, CEILING_PLAN.ceiling_burst)
     counted = 0.0
     total = before
     last_total = total
-    estimate = QuotaEstimate(CEILED, now, False)
-    estimate.reset(now, CEILED.burst + CEILED.rate * age - total, total)
+    estimate = QuotaEstimate(CEILING_PLAN, now, False)
+    estimate.reset(now, CEILING_PLAN.burst + CEILING_PLAN.rate * age - total, total)
     for kind, figure in steps:
-        units = min(figure, left)
+        units = min(figure, remaining)
         match kind:
             case "wait":
                 now += figure
-                left = min(CEILED.ceiling_burst, left + CEILED.ceiling_rate * figure)
+                remaining = min(
+                    CEILING_PLAN.ceiling_burst,
+                    remaining + CEILING_PLAN.ceiling_rate * figure,
+                )
             case "others":
-                left -= units
+                remaining -= units
                 total += units
             case "own":
-                left -= units
+                remaining -= units
                 estimate.consume(now, units)
             case "counted":
                 counted += figure
@@ -343,14 +346,16 @@
             case "total":
                 estimate.total_received(now, total - last_total)
                 last_total = total
-                # The bound is asked for at a total alone.
-                assert estimate.ceiling_lower_bound - estimate.units_since_update <= left + 1e-6
+                # The bound is read only at a total.
+                assert (
+                    estimate.ceiling_lower_bound - estimate.units_since_update <= remaining + 1e-6
+                )
             case _:
                 estimate.set_share(now, 0.5 if estimate.quota_share == 1.0 else 1.0)
 
 
 def test_units_given_back_late_do_not_hide_use_under_a_ceiling() -> None:
-    """Guards against a bound that takes use for none, as units counted earlier are given back."""
+    """Guards against a bound that misses use because units counted earlier are returned."""
     steps = [
         ("counted", 1.0),
         ("total", 0.0),
@@ -359,5 +364,5 @@
         ("rejected", 0.0),
         ("total", 0.0),
     ]
-    drawn = test_the_ceilings_lower_bound_is_never_more_than_what_is_left
-    drawn.hypothesis.inner_test(0.0, 0.0, steps)  # type: ignore[attr-defined]
+    bound_test = test_the_ceilings_lower_bound_is_never_more_than_what_is_left
+    bound_test.hypothesis.inner_test(0.0, 0.0, steps)  # type: ignore[attr-defined]
