--- a/tests/test_concurrency_limiter.py
+++ b/tests/test_concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight, without a gateway."""
+"""The concurrency limiter without a gateway."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def run(
     limiter: ConcurrencyLimiter, now: float, seconds: float, interval: float, latency: float
 ) -> float:
-    """Starts an attempt each `interval` while there is room; returns when the last has ended."""
+    """Starts an attempt per `interval` below the limit and returns the end of the last attempt."""
     in_flight: list[tuple[float, tuple[str, int]]] = []
     end = now + seconds
     count = 0
@@ -48,7 +48,7 @@
     return max([now, *(ends_at for ends_at, _ in in_flight)])
 
 
-def test_slow_responses_shrink_it_far_below_one_and_fast_ones_open_it_again() -> None:
+def test_slow_responses_lower_the_limit_far_below_one_and_fast_ones_raise_it_again() -> None:
     limiter = limiter_of(8.0)
     now = run(limiter, START, 80.0, 0.05, SLOW_RESPONSE_FRACTION * 1.5)
     assert MIN_LIMIT_ATTEMPTS <= limiter.limit < 0.5
@@ -56,7 +56,7 @@
     assert limiter.limit > 1.0
 
 
-def test_congestion_seen_by_many_responses_shrinks_it_once() -> None:
+def test_many_responses_with_the_same_congestion_lower_the_limit_once() -> None:
     limiter = limiter_of(8.0)
     for n in range(8):
         limiter.attempt_started(START, (str(n), 0), OBJECTIVE_S)
@@ -67,13 +67,13 @@
     assert limiter.limit == pytest.approx(before * 0.9)
 
 
-def test_it_does_not_grow_while_little_of_it_is_used() -> None:
+def test_the_limit_does_not_grow_while_little_of_it_is_used() -> None:
     limiter = limiter_of(8.0)
     run(limiter, START, 20.0, 2.0, 0.05)
     assert limiter.limit == 8.0
 
 
-def test_what_was_not_in_use_is_given_up_at_the_first_slow_response() -> None:
+def test_the_first_slow_response_drops_the_unused_part_of_the_limit() -> None:
     limiter = limiter_of(100.0)
     limiter.attempt_started(START, ("a", 0), 10.0)
     limiter.utilization(START + 10 * MEAN_TIME_CONSTANT_S)
@@ -81,7 +81,7 @@
     assert limiter.limit < 40.0
 
 
-def test_attempts_without_a_response_count_for_a_latency_objective_and_no_longer() -> None:
+def test_attempts_without_a_response_count_for_one_latency_objective() -> None:
     limiter = limiter_of(2.0)
     for n in range(4):
         limiter.attempt_started(START, (str(n), 0), OBJECTIVE_S)
@@ -91,7 +91,7 @@
     assert limiter.utilization(START + 7.0) < 0.05
 
 
-def test_whatever_comes_the_limit_keeps_its_bounds() -> None:
+def test_the_limit_stays_within_its_bounds_for_random_events() -> None:
     rng = random.Random(5)
     limiter = limiter_of(3.0)
     now = START
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the counter by a gateway: late replies, the change of keys, and consistency checks."""
+"""Counter calls of a gateway: late replies, changes of the key, and consistency checks."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 COUNTING = replace(SETTINGS, gateway_count=3, counter_available=True, counter_timeout=0.05)
 
 
-def playing() -> Play:
-    """A play whose customer's key has just begun, with a counter that may be called at any time."""
+def play_at_key_start() -> Play:
+    """Returns a play whose customer's key has just begun and whose counter may always be called."""
     play = Play(COUNTING)
     play.now = counter_key(key_number("c"), 500.0)[1] + 1.0
     play.gateway.counter_throttle.call_share = 1.0
@@ -27,14 +27,14 @@
 
 
 def call_until_counted(play: Play) -> AddToCounter:
-    """Sends requests, each answered at once, until the customer's key is called."""
+    """Sends requests, each answered at once, and returns the first call with the customer's key."""
     for _ in range(50):
         for action in play.ask(0.01, gateway_count=3):
             if isinstance(action, AddToCounter) and action.key in play.gateway.quota_reporter.calls:
                 return action
         for sent in sends(play.actions[-1:]):
             play.end(sent, Outcome.OK, 0.0)
-    raise AssertionError("no call")
+    raise AssertionError("no counter call was made")
 
 
 def counter_calls(actions: list[Action]) -> list[AddToCounter]:
@@ -42,7 +42,7 @@
 
 
 def check_delays(play: Play) -> list[float]:
-    """The delays of the timers that were set for consistency checks."""
+    """Returns the delays of the timers set for consistency checks."""
     return [
         action.delay
         for action in play.actions
@@ -50,8 +50,8 @@
     ]
 
 
-def test_a_late_total_is_used_if_no_call_was_made_since() -> None:
-    play = playing()
+def test_a_late_total_is_used_if_no_call_has_been_made_since() -> None:
+    play = play_at_key_start()
     call = call_until_counted(play)
     play.at(0.05, CounterReply(call.key, Outcome.TIMEOUT, 0.0, 0.05))
     estimate = play.gateway.admission.customers["c"].estimate
@@ -62,8 +62,8 @@
     assert estimate.level(play.now) == pytest.approx(8.0 - 5.0, abs=call.amount + 0.5)
 
 
-def test_a_late_total_that_comes_once_more_is_not_believed() -> None:
-    play = playing()
+def test_a_repeated_late_total_is_ignored() -> None:
+    play = play_at_key_start()
     call = call_until_counted(play)
     play.at(0.05, CounterReply(call.key, Outcome.TIMEOUT, 0.0, 0.05))
     play.at(0.1, CounterReply(call.key, Outcome.OK, call.amount + 5.0, 0.15))
@@ -73,27 +73,27 @@
     assert estimate.level(play.now) == before
 
 
-def test_a_reply_to_an_older_call_is_not_taken_for_the_one_in_flight() -> None:
-    play = playing()
+def test_a_reply_to_an_older_call_does_not_end_the_call_in_flight() -> None:
+    play = play_at_key_start()
     call = call_until_counted(play)
     play.at(0.05, CounterReply(call.key, Outcome.TIMEOUT, 0.0, 0.05))
     play.now += 1.0
     play.gateway.counter_throttle.call_share = 1.0
     second = call_until_counted(play)
     assert second.key == call.key
-    play.at(0.01, CounterReply(call.key, Outcome.OK, 70.0, 1.2))  # to the first call
+    play.at(0.01, CounterReply(call.key, Outcome.OK, 70.0, 1.2))  # the reply to the first call
     assert second.key in play.gateway.quota_reporter.calls
     assert not play.gateway.admission.customers["c"].ledger.replacements
     play.at(0.0, CounterReply(call.key, Outcome.OK, 3.0, 0.01))
     assert second.key not in play.gateway.quota_reporter.calls
 
 
-def test_a_key_is_read_once_more_after_all_gateways_have_left_it() -> None:
-    play = playing()
+def test_a_key_is_read_once_more_after_all_gateways_have_stopped_using_it() -> None:
+    play = play_at_key_start()
     first = call_until_counted(play)
     customer = play.gateway.admission.customers["c"]
     _, start = counter_key(customer.key_number, play.now)
-    play.now = start + EPOCH_S - 0.5  # the total comes shortly before all leave the key
+    play.now = start + EPOCH_S - 0.5  # the total arrives shortly before the key changes
     play.at(0.0, CounterReply(first.key, Outcome.OK, first.amount, 0.001))
     play.now = start + EPOCH_S + 0.1
     customer.slice.level = 0.0
@@ -102,14 +102,14 @@
     assert last.amount == 0.0
     actions = play.at(0.001, CounterReply(last.key, Outcome.OK, first.amount + 4.0, 0.001))
     assert play.gateway.admission.customers["c"].estimate.is_fresh(play.now)
-    # The request still waits, for the new key's total.
+    # The request still waits for the new key's total.
     [following] = counter_calls(actions)
     assert following.key == counter_key(customer.key_number, play.now)[0] != first.key
     assert not sends(actions)
     assert play.gateway.admission.customers["c"].awaiting_reply
 
 
-def test_checks_are_called_at_a_fixed_rate() -> None:
+def test_consistency_checks_are_called_at_a_fixed_rate() -> None:
     play = Play(COUNTING)
     for _ in range(20):
         delay = check_delays(play)[-1]
@@ -120,5 +120,5 @@
 
 
 @pytest.mark.parametrize("settings", [SETTINGS, replace(COUNTING, gateway_count=1)])
-def test_no_checks_without_a_counter_or_without_other_gateways(settings: Settings) -> None:
+def test_no_consistency_checks_without_a_counter_or_other_gateways(settings: Settings) -> None:
     assert not check_delays(Play(settings))
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas hold for the fleet: what real Gateways let through beyond them, beside a policy that sees late."""
+"""Use beyond the quotas in a fleet of real gateways, compared with a policy of delayed totals."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 
 from .conftest import Play, sends
 
-MOST = 0.1  # of what is asked inside the quotas
-LATE = 0.1  # s: stricter than the benchmark
+MAX_EXCESS = 0.1  # as a share of the demand within the quotas
+QUOTA_DELAY_S = 0.1  # stricter than the benchmark
 
 
-def price(ingresses: int, make: GatewayFactory) -> float:
-    many = replace(size_of(ingresses, 10.0), heavy_share=0.3, heavy_quota_use=5.0)
-    return Simulation(many, (), 1, make).run().figures()["over_price"]
+def over_quota_price(ingresses: int, make_gateways: GatewayFactory) -> float:
+    """Returns the price of the use beyond the quotas in one simulated run."""
+    fleet = replace(size_of(ingresses, 10.0), heavy_share=0.3, heavy_quota_use=5.0)
+    return Simulation(fleet, (), 1, make_gateways).run().figures()["over_price"]
 
 
-class Undivided(Gateway):
-    """Each grants the whole quota, and asks nobody."""
+class IndependentGateway(Gateway):
+    """A gateway that grants the whole quota and never calls the counter."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(replace(settings, counter_available=False), seed)
@@ -47,24 +48,25 @@
 
 
 @pytest.mark.parametrize("ingresses", [3, 12, 40])
-def test_a_fleet_on_a_quiet_day_lets_through_no_more_than_one_that_sees_late(
+def test_a_fleet_under_low_load_exceeds_quotas_no_more_than_one_with_delayed_totals(
     ingresses: int,
 ) -> None:
     assert (
-        price(ingresses, policy_gateways())
-        <= price(ingresses, partial(DelayedQuotaGateway, delay=LATE)) + MOST
+        over_quota_price(ingresses, policy_gateways())
+        <= over_quota_price(ingresses, partial(DelayedQuotaGateway, delay=QUOTA_DELAY_S))
+        + MAX_EXCESS
     )
 
 
-def test_a_fleet_in_which_each_grants_the_whole_quota_is_found_out() -> None:
-    """Seeded breach: what the test above fails on."""
+def test_a_fleet_whose_gateways_each_grant_the_whole_quota_is_detected() -> None:
+    """Seeded fault, which the test above detects."""
     assert (
-        price(40, policy_gateways(Undivided))
-        > price(40, partial(DelayedQuotaGateway, delay=LATE)) + MOST
+        over_quota_price(40, policy_gateways(IndependentGateway))
+        > over_quota_price(40, partial(DelayedQuotaGateway, delay=QUOTA_DELAY_S)) + MAX_EXCESS
     )
 
 
-CLOSE = (
+PLANS_NEAR_CEILING = (
     Plan("walk-in", 2.0, 6.0, price=0.9, over_quota_cost=0.8),
     Plan(
         "agency",
@@ -76,7 +78,7 @@
         ceiling_burst=21.0,
         ceiling_slack=4.4,
     ),
-)  # a ceiling close to its quota
+)  # a ceiling close to the quota
 SURGE = Size(
     gateways=200,
     backends=60,
@@ -91,43 +93,45 @@
 )
 
 
-def furthest(monkeypatch: pytest.MonkeyPatch) -> float:
-    """Units beyond a ceiling and its slack, the worst of four plays; not above 0 where all were kept."""
-    for part in (size, simulated, customers):
-        monkeypatch.setattr(part, "PLANS", CLOSE)
-        monkeypatch.setattr(part, "PLAN_SHARES", (0.55, 0.45), raising=False)
+def max_overrun(monkeypatch: pytest.MonkeyPatch) -> float:
+    """Returns the most units beyond a ceiling and its slack in four runs; 0 or less if all held."""
+    for module in (size, simulated, customers):
+        monkeypatch.setattr(module, "PLANS", PLANS_NEAR_CEILING)
+        monkeypatch.setattr(module, "PLAN_SHARES", (0.55, 0.45), raising=False)
     return max(
         Simulation(SURGE, (), seed, policy_gateways()).run().figures()["ceiling"]
         for seed in (1, 2, 3, 4)
     )
 
 
-def test_customers_that_surge_after_a_quiet_time_pass_no_ceiling(
+def test_customers_that_surge_after_idle_time_exceed_no_ceiling(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each ingress of the set hears of the customer for the first time while the others let it in."""
-    assert furthest(monkeypatch) <= 0.0
+    """Each ingress of the set receives the customer's first request while the others admit it."""
+    assert max_overrun(monkeypatch) <= 0.0
 
 
 @pytest.mark.interpreted
-def test_idle_time_in_a_count_taken_for_room_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seeded breach, as it was: a total is believed to show what is left however the count came to it."""
+def test_treating_idle_time_in_a_count_as_capacity_is_detected(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Seeded fault: a total is trusted to show the units left, even if they are idle time."""
 
-    def believing(self: Customer, now: float, units: float, units_counted: bool) -> bool:
+    def confirmed_by_level(self: Customer, now: float, units: float, units_counted: bool) -> bool:
         return units_counted and self.reliable_total_at == now and self.estimate.level(now) >= units
 
-    monkeypatch.setattr(Customer, "ceiling_confirmed", believing)
-    assert furthest(monkeypatch) > 0.0
+    monkeypatch.setattr(Customer, "ceiling_confirmed", confirmed_by_level)
+    assert max_overrun(monkeypatch) > 0.0
 
 
-# Many thin customers, and a counter that answers a question for every second try.
+# Many customers with little traffic, and a counter that can reply about every second attempt.
 
-VIEWS = (
+SMALL_PLANS = (
     Plan("village", 0.73, 2.0, price=0.55, over_quota_cost=0.6),
     Plan("society", 1.5, 8.0, price=0.88, over_quota_cost=1.0),
     Plan("district", 3.8, 6.0, price=1.3, over_quota_cost=0.5),
 )
-ASKED = Size(
+LIMITED_COUNTER = Size(
     gateways=100,
     backends=70,
     duration=10.0,
@@ -145,31 +149,35 @@
 )
 
 
-def guessed(monkeypatch: pytest.MonkeyPatch) -> float:
-    """The price of what is beyond the quotas."""
-    for part in (size, simulated, customers):
-        monkeypatch.setattr(part, "PLANS", VIEWS)
-        monkeypatch.setattr(part, "PLAN_SHARES", (0.25, 0.3, 0.45), raising=False)
-    return float(Simulation(ASKED, (), 1, policy_gateways()).run().figures()["over_price"])
+def optimistic_price(monkeypatch: pytest.MonkeyPatch) -> float:
+    """Returns the price of the use beyond the quotas, most of it by optimistic admission."""
+    for module in (size, simulated, customers):
+        monkeypatch.setattr(module, "PLANS", SMALL_PLANS)
+        monkeypatch.setattr(module, "PLAN_SHARES", (0.25, 0.3, 0.45), raising=False)
+    return float(
+        Simulation(LIMITED_COUNTER, (), 1, policy_gateways()).run().figures()["over_price"]
+    )
 
 
-def pays_each_alone(self: OptimisticAdmission, now: float, customer: Customer) -> float:
-    odds = self.probability[customer.plan.name, customer.is_returning(now)]
+def unbounded_expected_loss(self: OptimisticAdmission, now: float, customer: Customer) -> float:
+    chance = self.probability[customer.plan.name, customer.is_returning(now)]
     return (
-        0.0 if odds > customer.plan.over_quota_cost / (1 + customer.plan.over_quota_cost) else -1.0
+        0.0
+        if chance > customer.plan.over_quota_cost / (1 + customer.plan.over_quota_cost)
+        else -1.0
     )
 
 
 @pytest.mark.interpreted
-def test_guesses_that_each_pay_alone_do_not_add_up_over_a_fleet(
+def test_optimistic_admissions_that_each_pay_do_not_add_up_across_a_fleet(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    bounded = guessed(monkeypatch)
-    monkeypatch.setattr(OptimisticAdmission, "expected_loss", pays_each_alone)
-    assert bounded < 0.85 * guessed(monkeypatch)
+    bounded = optimistic_price(monkeypatch)
+    monkeypatch.setattr(OptimisticAdmission, "expected_loss", unbounded_expected_loss)
+    assert bounded < 0.85 * optimistic_price(monkeypatch)
 
 
-def test_the_more_guesses_have_cost_the_surer_the_next_has_to_be() -> None:
+def test_higher_losses_raise_the_probability_that_optimistic_admission_requires() -> None:
     plan = Plan("p", 1.0, 2.0, over_quota_cost=0.5)
     gateway = Gateway(
         Settings((RequestClass("read", 1.0, 4.0),), (plan,), counter_available=True), 1
@@ -182,30 +190,27 @@
         gateway.optimistic_admission.probability["p", False],
         gateway.optimistic_admission.probability["p", True],
     ) = 0.7, 0.45
+    # A loss of 0.15 for a gain of 0.7.
     assert customer.decided_by_counter and gateway.optimistic_admission.expected_loss(
         0.0, customer
-    ) == pytest.approx(0.15)  # lost for 0.7
+    ) == pytest.approx(0.15)
+    # A returning customer: a loss of 0.275 for a gain of 0.45.
     customer.admitted_optimistically = True
-    assert gateway.optimistic_admission.expected_loss(0.0, customer) == pytest.approx(
-        0.275
-    )  # for 0.45
+    assert gateway.optimistic_admission.expected_loss(0.0, customer) == pytest.approx(0.275)
+    # With twice the mean loss: 0.55 for a returning customer's 0.45.
     gateway.optimistic_admission.mean_loss = 2 * MAX_MEAN_LOSS
-    assert (
-        gateway.optimistic_admission.expected_loss(0.0, customer) < 0.0
-    )  # one that came again: 0.55 for 0.45
+    assert gateway.optimistic_admission.expected_loss(0.0, customer) < 0.0
+    # And 0.3 for 0.7.
     customer.admitted_optimistically = False
-    assert gateway.optimistic_admission.expected_loss(0.0, customer) > 0.0  # 0.3 for 0.7
+    assert gateway.optimistic_admission.expected_loss(0.0, customer) > 0.0
     gateway.optimistic_admission.mean_loss = 5 * MAX_MEAN_LOSS
     assert gateway.optimistic_admission.expected_loss(0.0, customer) < 0.0
-    customer.admitted_optimistically = (
-        True  # while the counter answers nothing no request of it could be asked about
-    )
-    assert (
-        gateway.optimistic_admission.expected_loss(COUNTER_SILENCE_TIMEOUT_S, customer) == 0.0
-    )  # and it is not held against the next
+    # While the counter is silent no call about the customer is possible, so no loss is counted.
+    customer.admitted_optimistically = True
+    assert gateway.optimistic_admission.expected_loss(COUNTER_SILENCE_TIMEOUT_S, customer) == 0.0
 
 
-def test_what_guesses_have_cost_is_forgotten_as_others_are_let_in() -> None:
+def test_the_mean_loss_of_optimistic_admission_decays_with_further_admissions() -> None:
     play = Play()
     play.gateway.optimistic_admission.mean_loss = 1.0
     for sent in sends(play.ask()):
