--- a/ingress/policy/backend_state.py
+++ b/ingress/policy/backend_state.py
@@ -111,7 +111,7 @@
         return now - max(self.last_response_at, self.oldest_sent_at) if self.in_flight else 0.0
 
     def load_score(
-        self, now: float, mean_latency: float, decay_time: float, zone: str, chance: float
+        self, now: float, mean_latency: float, decay_time: float, zone: str, jitter: float
     ) -> float:
         """Returns the load relative to the backend's weight; the lowest score is chosen.
 
@@ -120,7 +120,7 @@
             mean_latency: The mean latency of the request class in seconds.
             decay_time: A third of the half-life, in seconds, of the latency information.
             zone: The zone of this gateway.
-            chance: An exponentially distributed number that replaces the one additional attempt.
+            jitter: An exponentially distributed number that replaces the one additional attempt.
                 Gateways with next to no attempts in flight would otherwise all choose the largest
                 backend; with it, they choose idle backends in proportion to weight.
         """
@@ -131,7 +131,7 @@
             slowness, self.silent_for(now) / max(mean_latency, 1e-6) / 3.0, MIN_RELATIVE_LATENCY
         )
         return (
-            (len(self.in_flight) + chance)
+            (len(self.in_flight) + jitter)
             * slowness
             / max(self.backend.weight, MIN_WEIGHT)
             * (CROSS_ZONE_FACTOR if zone != self.backend.zone else 1.0)
--- a/ingress/policy/customer.py
+++ b/ingress/policy/customer.py
@@ -61,7 +61,7 @@
         plan: Plan,
         now: float,
         gateway_age: float,
-        can_learn: bool,
+        has_counter: bool,
         max_units: float,
     ) -> None:
         self.customer_id = event.customer
@@ -70,10 +70,10 @@
         self.plan = plan
         self.last_request_at = now
         self.slice_below_request = (
-            can_learn and plan.rate > 0 and plan.burst < self.gateway_count * max_units
+            has_counter and plan.rate > 0 and plan.burst < self.gateway_count * max_units
         )
         self.decided_by_counter = self.slice_below_request and not plan.ceiling_rate
-        self._create_buckets(now, gateway_age, can_learn, max_units)
+        self._create_buckets(now, gateway_age, has_counter, max_units)
         self.in_flight = 0
         self.max_in_flight = max(1, int(plan.max_concurrent / self.gateway_count))
         self.estimate = QuotaEstimate(plan, now, self.slice_below_request)
@@ -92,18 +92,18 @@
         self.awaiting_next_call: list[RequestState] = []
 
     def _create_buckets(
-        self, now: float, gateway_age: float, can_learn: bool, max_units: float
+        self, now: float, gateway_age: float, has_counter: bool, max_units: float
     ) -> None:
         plan = self.plan
         rate = plan.rate / self.gateway_count
         burst = plan.burst / self.gateway_count
         # Each restart would otherwise hand out a full burst.  If a counter is available, a slice
         # starts with the units that were refilled since the gateway started.
-        level = min(burst, rate * gateway_age) if can_learn else burst
+        level = min(burst, rate * gateway_age) if has_counter else burst
         self.slice = TokenBucket(rate, burst, level, now)
         self.ceiling_reserve = (
             _ceiling_reserve(plan, self.gateway_count, max_units)
-            if can_learn
+            if has_counter
             else plan.ceiling_burst
         )
         self.ceiling = TokenBucket(
@@ -204,7 +204,7 @@
         self.ceiling.level = max(-self.plan.burst, self.ceiling.level - units)
 
     def settle(self, units: float) -> None:
-        """Takes the difference between a request's true and estimated units, or returns it.
+        """Corrects the use by the difference between a request's true and estimated units.
 
         Args:
             units: The true units minus the estimated ones; negative to return units.
--- a/ingress/policy/load_balancer.py
+++ b/ingress/policy/load_balancer.py
@@ -50,12 +50,12 @@
         """Applies a change of the endpoint list; a failed poll changes nothing."""
         if event.kind is EndpointListKind.UNAVAILABLE:
             return
-        named = {entry.id for entry in event.backends}
+        listed = {entry.id for entry in event.backends}
         if event.kind is not EndpointListKind.UPDATE:
             for target in self.backends.values():
-                target.is_ready = target.is_ready and target.backend.id in named
+                target.is_ready = target.is_ready and target.backend.id in listed
         self._update_entries(event, now)
-        self._drop_removed(named)
+        self._drop_removed(listed)
         self.ready = [target for target in self.backends.values() if target.is_ready]
         self.subset = sorted(self.ready, key=self._rendezvous_hash)[:SUBSET_SIZE]
         self.slow_start.backends_changed(self.ready)
@@ -75,7 +75,7 @@
             target.backend = entry
             target.is_ready = entry.readiness is Readiness.READY
 
-    def _drop_removed(self, named: set[str]) -> None:
+    def _drop_removed(self, listed: set[str]) -> None:
         """Drops backends that are no longer listed and have no attempts in flight."""
         unused = [
             name
@@ -83,7 +83,7 @@
             if not target.is_ready and not target.in_flight
         ]
         for name in unused:
-            if self.backends[name].backend.readiness is Readiness.REMOVED or name not in named:
+            if self.backends[name].backend.readiness is Readiness.REMOVED or name not in listed:
                 del self.backends[name]
 
     def _rendezvous_hash(self, target: BackendState) -> int:
@@ -122,8 +122,8 @@
         for target in self._eligible(usable, now):
             if has_untried and target.backend.id in tried:
                 continue
-            chance = -log(1.0 - self.rng.random())  # exponentially distributed with mean 1
-            score = target.load_score(now, mean_latency, decay_time, self.settings.zone, chance)
+            jitter = -log(1.0 - self.rng.random())  # exponentially distributed with mean 1
+            score = target.load_score(now, mean_latency, decay_time, self.settings.zone, jitter)
             if score < best_score and self._is_warm_enough(target, now, request):
                 best = target
                 best_score = score
--- a/ingress/policy/quota_estimate.py
+++ b/ingress/policy/quota_estimate.py
@@ -25,8 +25,8 @@
     """Units added under one counter key: by this gateway, and by others as derived from totals.
 
     A total below the ledger's units shows that the counter was replaced by an empty or an older
-    one.  The ledger keeps the units lost with it and adds them to all later totals, so that known
-    use is not lost.
+    one.  The ledger adds the units lost with the old counter to all later totals, so that known
+    use still counts.
 
     Attributes:
         key: The counter key.
@@ -152,9 +152,9 @@
         return now - self.last_total_at <= self.max_age
 
     def level(self, now: float) -> float:
-        """Returns the units left if others continue as before, an assumption that fades with age.
+        """Returns the units left if the other gateways continue at their rate.
 
-        With a slice below one request the others' rate does not fade.
+        The rate decays with the age of the total, unless the slice is below one request.
         """
         age = now - self.updated_at
         if self.slice_below_request:
@@ -216,7 +216,7 @@
         )
         self.ceiling_lower_bound = min(self.ceiling_lower_bound, refilled_late)
 
-    def total_uninformative(self, now: float) -> None:
+    def uninformative_total_received(self, now: float) -> None:
         """Records a total without usable information and assumes others continued as before."""
         self.level_at_update = self.level(now)
         self.ceiling_lower_bound = 0.0
--- a/ingress/policy/quota_reporting.py
+++ b/ingress/policy/quota_reporting.py
@@ -40,7 +40,7 @@
 
 
 class TimedOutCall:
-    """A counter call that timed out: the customer whose use it reported, and its start."""
+    """A counter call that timed out: the customer whose use it reported, and the start time."""
 
     __slots__ = ("customer", "sent_at")
 
@@ -84,7 +84,7 @@
         self.unreported_customers[customer.customer_id] = customer
 
     def settle(self, customer: Customer, units: float) -> None:
-        """Takes the difference between a request's true and estimated units, or returns it.
+        """Corrects the use by the difference between a request's true and estimated units.
 
         Args:
             customer: The customer that sent the request.
@@ -256,7 +256,7 @@
         elif ledger.replacements > replacements_before or (
             suspect and used < estimate.others_rate * (now - estimate.updated_at)
         ):
-            estimate.total_uninformative(now)
+            estimate.uninformative_total_received(now)
         else:
             estimate.total_received(now, used, ledger.hidden_units)
         return level
