--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -124,7 +124,7 @@
     assert max_overrun(monkeypatch) > 0.0
 
 
-# Many customers with little traffic, and a counter that can reply about every second attempt.
+# Many customers with little traffic, and a counter that can answer one call per two attempts.
 
 SMALL_PLANS = (
     Plan("village", 0.73, 2.0, price=0.55, over_quota_cost=0.6),
@@ -150,7 +150,7 @@
 
 
 def optimistic_price(monkeypatch: pytest.MonkeyPatch) -> float:
-    """Returns the price of the use beyond the quotas, most of it by optimistic admission."""
+    """Returns the price of the use beyond the quotas in one run with a limited counter."""
     for module in (size, simulated, customers):
         monkeypatch.setattr(module, "PLANS", SMALL_PLANS)
         monkeypatch.setattr(module, "PLAN_SHARES", (0.25, 0.3, 0.45), raising=False)
@@ -197,10 +197,10 @@
     # A returning customer: a loss of 0.275 for a gain of 0.45.
     customer.admitted_optimistically = True
     assert gateway.optimistic_admission.expected_loss(0.0, customer) == pytest.approx(0.275)
-    # With twice the mean loss: 0.55 for a returning customer's 0.45.
+    # At twice the maximum mean loss: 0.55 for a returning customer's gain of 0.45.
     gateway.optimistic_admission.mean_loss = 2 * MAX_MEAN_LOSS
     assert gateway.optimistic_admission.expected_loss(0.0, customer) < 0.0
-    # And 0.3 for 0.7.
+    # A new customer: 0.3 for a gain of 0.7.
     customer.admitted_optimistically = False
     assert gateway.optimistic_admission.expected_loss(0.0, customer) > 0.0
     gateway.optimistic_admission.mean_loss = 5 * MAX_MEAN_LOSS
