--- a/ingress/policy/customer.py
+++ b/ingress/policy/customer.py
@@ -135,7 +135,7 @@
         return self.shed_rank
 
     def is_idle(self, now: float) -> bool:
-        """Returns whether the customer can be dropped: a new one would have the same state."""
+        """Returns whether the customer can be dropped: a new one with full buckets is the same."""
         return (
             now - self.last_request_at > CUSTOMER_IDLE_S
             and not self.in_flight
