--- a/ingress/core/__init__.py
+++ b/ingress/core/__init__.py
@@ -1,1 +1,1 @@
-"""The exchange and its ports: no protocol, no sockets and no decisions."""
+"""The exchange and its ports, without protocols, sockets or decisions."""
--- a/ingress/core/call_limits.py
+++ b/ingress/core/call_limits.py
@@ -1,4 +1,4 @@
-"""What the settings allow a call to say, whatever protocol it came by."""
+"""Validation of calls against the settings, shared by all client protocols."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ingress.core.calls import InvalidCallError
 from ingress.policy.settings import RequestClass, RetrySemantics, Settings
 
-# Fields of a call, by their names in the first version of the protocol.
+# Names of a call's fields in the first version of the protocol.
 CLASS_FIELD: Final = "c"
 PLAN_FIELD: Final = "t"
 TIMEOUT_FIELD: Final = "d"
@@ -24,17 +24,20 @@
 DECIMAL: Final = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 MAX_DIGITS: Final = 9
 MAX_TIMEOUT_DEADLINES: Final = 2
-"""A client that is late itself counts its timeout from when it should have sent."""
+"""Longest accepted timeout, in deadlines of the request's class.
+
+A client that sends late counts its timeout from the time at which it should have sent.
+"""
 MS_PER_S: Final = 1000
 
 NO_FIELD_NAMES: Final[Mapping[str, str]] = MappingProxyType({})
 
 
 class CallLimits:
-    """Checks the fields of calls against the settings.
+    """Validates the fields of calls against the settings.
 
-    A figure that a backend would reject, or that no customer has, never becomes a request: it would
-    spoil the token buckets.
+    A call with a value that a backend would reject, or that no customer can have, never becomes a
+    request: it would distort the token buckets.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -49,16 +52,16 @@
         is_write: bool,
         field_names: Mapping[str, str] = NO_FIELD_NAMES,
     ) -> tuple[float, float, int, int]:
-        """Returns a call's timeout in seconds, its units, how many gateways it has, and the first.
+        """Returns a call's timeout in seconds, its units, its gateway count and its first gateway.
 
         Args:
             fields: The call's fields, by the names above.
-            is_write: Whether the call came as one that changes something.
-            field_names: What the call's protocol version calls fields, where that differs.
+            is_write: Whether the call was sent as a write.
+            field_names: The names of fields in the call's protocol version, where they differ.
 
         Raises:
-            InvalidCallError: A field is missing or not allowed; the text has the version's name of
-                it.
+            InvalidCallError: A field is missing or has a value that is not allowed; the text names
+                the field as the call's protocol version does.
         """
         for key in (CLASS_FIELD, PLAN_FIELD, TIMEOUT_FIELD):
             if key not in fields:
@@ -79,7 +82,7 @@
     def _check_class(
         self, fields: Mapping[str, str], is_write: bool, field_names: Mapping[str, str]
     ) -> RequestClass:
-        """Returns the call's class, with which its plan, its verb and its key agree."""
+        """Returns the call's class, after checking its plan, its verb and its key against it."""
         request_class = self.classes.get(fields[CLASS_FIELD])
         if request_class is None:
             raise InvalidCallError("unknown class")
@@ -95,7 +98,7 @@
 
     def _read_units(self, fields: Mapping[str, str], field_names: Mapping[str, str]) -> float:
         text = fields.get(UNITS_FIELD, "1")
-        # Nearly all are whole numbers, which are told faster without the pattern.
+        # Nearly all values are whole numbers, for which this check is faster than the pattern.
         if not (_is_integer(text) or DECIMAL.fullmatch(text)):
             raise _bad_number(UNITS_FIELD, field_names)
         units = float(text)
@@ -109,7 +112,7 @@
 
 
 def _is_integer(text: str) -> bool:
-    """Returns whether a text is one to nine ASCII digits; other alphabets have digits too."""
+    """Returns whether a text is one to nine ASCII digits; `isdigit` accepts other scripts too."""
     return 0 < len(text) <= MAX_DIGITS and text.isascii() and text.isdigit()
 
 
@@ -120,7 +123,7 @@
     maximum: int,
     field_names: Mapping[str, str],
 ) -> int:
-    """Returns a field's whole number; the minimum where the field is missing."""
+    """Returns the integer value of a field, or the minimum if the field is missing."""
     text = fields.get(key, str(minimum))
     if not _is_integer(text) or not minimum <= int(text) <= maximum:
         raise _bad_number(key, field_names)
--- a/ingress/core/calls.py
+++ b/ingress/core/calls.py
@@ -1,4 +1,4 @@
-"""Requests and responses as no protocol in particular has them."""
+"""Protocol-independent requests and responses."""
 
 from __future__ import annotations
 
@@ -8,24 +8,26 @@
 
 @dataclass(init=False, slots=True)
 class Call:
-    """One request as a client protocol decoded it.
+    """One request, decoded by a client protocol.
 
-    A client protocol may keep the bytes that came in a subclass, which a backend protocol of the
-    same kind passes on unchanged; any other goes by the fields here.
+    A client protocol may keep the received bytes in a subclass; a backend protocol of the same kind
+    forwards them unchanged. All other backend protocols use the fields below.
 
     Attributes:
-        client_request_id: The client's name for the request; no two open requests share one.
+        client_request_id: The client's id for the request, unique among the open requests.
         customer: The name of the customer.
         request_class: The name of the request's class.
         plan: The name of the customer's plan.
-        timeout: Seconds for which the client waits, from when the last byte came.
-        units: What the request takes from the quota.
-        gateway_count: How many gateways the customer may use.
-        first_gateway: The number of the first of those; the others follow, counted round.
-        is_retry: Whether the client asked for the same before.
-        is_write: Whether the request changes something.
-        idempotency_key: What backends tell repeats by; "" where the class has no keys.
-        body: What is to be written, if the protocol has it apart from the fields.
+        timeout: Seconds for which the client waits, from the arrival of the last byte.
+        units: Units that the request takes from the quota.
+        gateway_count: The number of gateways that the customer may use.
+        first_gateway: The number of the first of those gateways; the others follow it, wrapping
+            around at the last gateway.
+        is_retry: Whether the client has sent the same request before.
+        is_write: Whether the request changes data.
+        idempotency_key: The key by which backends recognise repeated requests; "" if the class has
+            no keys.
+        body: The data to write, if the protocol carries it separately from the fields.
     """
 
     client_request_id: bytes
@@ -70,7 +72,7 @@
         self.body = body
 
     def size(self) -> int:
-        """Returns the bytes that the call holds beside a fixed cost."""
+        """Returns the size of the call in bytes, without a fixed overhead per call."""
         return (
             len(self.client_request_id)
             + len(self.customer)
@@ -80,14 +82,14 @@
 
 
 class ResponseKind(Enum):
-    """The three final responses."""
+    """The three kinds of final response."""
 
     SERVED = auto()
     """A backend's value."""
     REJECTED = auto()
-    """Nothing ran: a retry does no harm."""
+    """The request did not run: a retry is safe."""
     FAILED = auto()
-    """Nothing is promised about the effect."""
+    """The request may or may not have taken effect."""
 
 
 @dataclass(init=False, slots=True)
@@ -95,9 +97,9 @@
     """The one final response to a request.
 
     Attributes:
-        kind: Which of the three it is.
+        kind: The kind of response.
         value: With `SERVED`, the backend's value.
-        retry_after: With `REJECTED`, the seconds that the client is told to wait; 0 for none.
+        retry_after: With `REJECTED`, the seconds after which the client may retry; 0 for none.
     """
 
     kind: ResponseKind
@@ -115,8 +117,11 @@
 
 
 class InvalidCallError(Exception):
-    """A complete request makes no sense, which its text says; what follows it on the wire may."""
+    """A complete request is invalid; the requests after it on the connection may be valid.
+
+    The text is sent to the client.
+    """
 
 
 class DuplicateRequestError(Exception):
-    """A call has the client's name of a request that is still open."""
+    """A call has the same client request id as a request that is still open."""
--- a/ingress/core/clock.py
+++ b/ingress/core/clock.py
@@ -10,10 +10,10 @@
 
 
 def unix_clock() -> Clock:
-    """Returns a clock that goes on when the wall clock is set back or forward.
+    """Returns a clock that is unaffected by later adjustments of the wall clock.
 
-    It tells Unix time, since the start times of backends and the epochs of counter keys must mean
-    the same at every gateway.
+    The clock returns Unix time, so that start times of backends and epochs of counter keys have the
+    same meaning at every gateway.
     """
     monotonic = time.monotonic
     offset = time.time() - monotonic()
--- a/ingress/core/exchange.py
+++ b/ingress/core/exchange.py
@@ -1,4 +1,4 @@
-"""The exchange: feeds the policy events, carries out its actions, owes each request a response."""
+"""The exchange: feeds events to the policy, carries out its actions, answers each request once."""
 
 from __future__ import annotations
 
@@ -55,25 +55,27 @@
 
 
 class Exchange:
-    """The open requests of all clients.  It decides nothing: that is the policy's.
+    """The open requests of all clients. All decisions are the policy's.
 
-    A call is rejected at once when `max_open_requests` are open, or calls hold more than
-    `max_buffered_bytes`.
+    A call is rejected immediately while `max_open_requests` requests are open or the open requests
+    hold more than `max_buffered_bytes`.
 
     Attributes:
-        upstream: Carries attempts; has to be set before the first event.
-        counter: The shared counter, where there is one.
-        placement: Where calls with a key may run, where they have more than one memory.
-        open_requests: The open requests, by the exchange's name for them.
-        client_request_ids: The clients' names of requests that have no response yet.
-        attempts: Attempts in flight, by the request's name and their number.
-        buffered_bytes: What the open requests hold.
-        request_count: Requests that were opened since the start.
-        attempt_count: Attempts that were started since the start.
-        pending_events: Events that came up while the policy handled another.
-        handling: Whether the policy handles one.
-        unsupported_actions: Actions of which was logged that they can't be carried out.
-        deduplication_windows: Seconds for which keys are remembered, by the class that has them.
+        upstream: Carries the attempts; must be set before the first event.
+        counter: The shared counter, if there is one.
+        placement: Tracks where calls with an idempotency key may run, if the backends do not all
+            share one memory of keys.
+        open_requests: The open requests, by the exchange's id for each.
+        client_request_ids: The clients' ids of the requests that have no response yet.
+        attempts: The attempts in flight, by the request's key and the attempt's number.
+        buffered_bytes: Bytes held by the open requests.
+        request_count: The number of requests opened since the start.
+        attempt_count: The number of attempts started since the start.
+        pending_events: Events that occurred while the policy was handling another one.
+        handling: Whether the policy is handling an event.
+        unsupported_actions: Names of unsupported actions that have been logged.
+        deduplication_windows: Seconds for which backends remember idempotency keys, by request
+            class; only classes with keys.
     """
 
     upstream: Upstream
@@ -117,11 +119,12 @@
 
         Args:
             downstream: The client's side.
-            call: What the client asked.
-            arrived_at: When its last byte came: long ago, perhaps, if the process was paused.
+            call: The client's call.
+            arrived_at: The time at which its last byte arrived; may be long ago if the process was
+                paused.
 
         Raises:
-            DuplicateRequestError: The client's name for it is that of an open request.
+            DuplicateRequestError: An open request has the same client request id.
         """
         if call.client_request_id in self.client_request_ids:
             raise DuplicateRequestError("the id belongs to an open request")
@@ -145,12 +148,12 @@
                 return
             cell = constraint.cell
         request = self._open(downstream, call, arrived_at + call.timeout, time_left)
-        self.feed(request.received(time_for_policy, cell))
+        self.feed(request.received_event(time_for_policy, cell))
 
     def _open(
         self, downstream: Downstream, call: Call, deadline: float, time_left: float
     ) -> OpenRequest:
-        # A client may use its own name for a request again once that is over: it is no key.
+        # The client's id can't serve as the key: a client may reuse it after the request has ended.
         self.request_count += 1
         key = str(self.request_count)
         downstream.request_key = key
@@ -163,21 +166,21 @@
         return request
 
     def client_disconnected(self, downstream: Downstream) -> None:
-        """Closes the request of a client that waits no more, if it has one."""
+        """Closes the open request of a client that has disconnected, if it has one."""
         request = self.open_requests.get(downstream.request_key)
         if request is not None and not request.answered:
             self._close(request)
             self.feed(ClientDisconnected(request.key))
 
     def fail_open_requests(self) -> None:
-        """Fails whatever is open: the process is about to end."""
+        """Fails all open requests, since the process is about to end."""
         for request in list(self.open_requests.values()):
             self._fail(request)
 
     def _force_response(self, request: OpenRequest) -> None:
-        """Fails a request that nobody answered in time, whatever the policy or a peer does."""
+        """Fails a request that is not answered in time, whatever the policy or a peer does."""
         if not request.answered:
-            log.warning("a final response was forced: %s", request.describe_attempts(self.clock()))
+            log.warning("forced a final response: %s", request.describe_attempts(self.clock()))
             self._fail(request)
 
     def _fail(self, request: OpenRequest) -> None:
@@ -190,17 +193,17 @@
         request.downstream.answer(response)
 
     def _close(self, request: OpenRequest) -> None:
-        """Marks a request as one that nobody waits for."""
+        """Marks a request as one for which no client waits any more."""
         request.answered = True
         self.client_request_ids.discard(request.call.client_request_id)
         if request.timer is not None:
             request.timer.cancel()
         if request.attempt_in_flight is not None:
-            # The attempt may still wait for its connection: backends would work for nobody.
+            # An attempt that still waits for a connection would only waste work at a backend.
             self.upstream.withdraw(request.attempt_in_flight)
 
-    def _forget(self, key: str) -> None:
-        """Drops a request of whose end the policy knows."""
+    def _remove_request(self, key: str) -> None:
+        """Removes a request of whose end the policy has been notified."""
         request = self.open_requests.pop(key, None)
         if request is not None:
             self.buffered_bytes -= request.size_bytes
@@ -214,13 +217,13 @@
         addresses: dict[str, tuple[str, int]],
         version: int,
     ) -> None:
-        """Takes over the endpoint list, or what changed in it.
+        """Applies the endpoint list, or changes to it.
 
         Args:
-            kind: What `backends` holds.
+            kind: Whether `backends` holds all entries or the changed ones.
             backends: Entries of the list.
-            addresses: Host and port of each, by the backend's id.
-            version: Grows with each change of the list.
+            addresses: Host and port of each backend, by its id.
+            version: A number that increases with each change of the list.
         """
         self.upstream.change(kind is not EndpointListKind.UPDATE, backends, addresses)
         self.feed(BackendsChanged(kind, backends, version))
@@ -228,12 +231,12 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, load: Mapping[str, float]
     ) -> None:
-        """Takes an attempt's one outcome from the upstream.
+        """Handles the outcome of an attempt, which the upstream reports once.
 
         Args:
             attempt: The attempt.
-            outcome: How it ended.
-            value: The backend's value, if it served the request.
+            outcome: How the attempt ended.
+            value: The backend's value if it served the request, else None.
             load: The backend's load report.
         """
         request = self.open_requests.get(attempt.request_key)
@@ -257,7 +260,7 @@
     def _apply_outcome(
         self, request: OpenRequest, attempt: Attempt, outcome: Outcome, value: bytes | None
     ) -> None:
-        """Answers a request by an attempt's outcome, or records that the attempt may have run."""
+        """Answers a request from an attempt's outcome, or records that the attempt may have run."""
         if request.attempt_in_flight is attempt:
             request.attempt_in_flight = None
         if request.answered:
@@ -272,7 +275,7 @@
     # The policy
 
     def feed(self, event: Event) -> None:
-        """Hands an event to the policy; one that comes up meanwhile waits for its turn."""
+        """Passes an event to the policy, or queues it while the policy is handling another one."""
         if self.handling:
             self.pending_events.append(event)
             return
@@ -289,30 +292,31 @@
         try:
             actions = self.policy.handle(self.clock(), event)
         except Exception:
-            # A fault of the policy must end neither the process nor other requests: what it had
-            # decided so far is carried out (a timer that is set anew, say), and this request fails.
+            # A fault in the policy must end neither the process nor other requests. The actions
+            # decided before it (setting a timer again, for example) are carried out, and this
+            # request fails.
             log.exception("the policy failed on %s", type(event).__name__)
             actions = self.policy.actions
             policy_failed = True
         for action in actions:
             try:
                 self._carry_out(action)
-            except Exception:  # the other actions are still to be carried out
-                log.exception("%s failed", type(action).__name__)
+            except Exception:  # the remaining actions must still be carried out
+                log.exception("failed to carry out %s", type(action).__name__)
         if isinstance(event, RequestReceived | AttemptEnded | ClientDisconnected):
-            self._handled(event, policy_failed)
+            self._finish_handling(event, policy_failed)
 
-    def _handled(
+    def _finish_handling(
         self, event: RequestReceived | AttemptEnded | ClientDisconnected, policy_failed: bool
     ) -> None:
-        """Drops the event's request if it has ended with it; fails it if the policy failed."""
+        """Removes the event's request if the event ended it; fails it if the policy failed."""
         request = self.open_requests.get(event.request_id)
         if request is None:
             return
         if isinstance(event, ClientDisconnected) or (
             isinstance(event, AttemptEnded) and event.finished
         ):
-            self._forget(event.request_id)
+            self._remove_request(event.request_id)
         elif policy_failed:
             self._fail(request)
 
@@ -322,15 +326,15 @@
                 self._start_attempt(action)
             case RejectRequest(request_id=key, retry_after=retry_after):
                 retry_after = max(0.0, retry_after)
-                self._end(key, Response(ResponseKind.REJECTED, retry_after=retry_after))
+                self._end_request(key, Response(ResponseKind.REJECTED, retry_after=retry_after))
             case FailRequest(request_id=key):
-                self._end(key, FAILED_RESPONSE)
+                self._end_request(key, FAILED_RESPONSE)
             case SetTimer(delay=delay, token=token):
                 self.timers.call_later(max(0.0, delay), self.feed, TimerFired(token))
-            case AddToCounter(key=name, amount=amount, lifetime=lifetime) if (
+            case AddToCounter(key=counter_key, amount=amount, lifetime=lifetime) if (
                 self.counter is not None
             ):
-                self.counter.call(name, amount, lifetime)
+                self.counter.call(counter_key, amount, lifetime)
             case _:
                 self._carry_out_rare(action)
 
@@ -345,21 +349,21 @@
             case WriteLog(text=text):
                 log.info("%s", text)
             case WatchBackends() | FetchBackends():
-                pass  # the endpoint list is always watched
+                pass  # the endpoint list is watched all the time
             case _:
                 self._warn_unsupported(type(action).__name__)
 
     def _warn_unsupported(self, name: str) -> None:
         if name not in self.unsupported_actions:
             self.unsupported_actions.add(name)
-            log.warning("%s is not supported", name)
+            log.warning("the policy's action %s is not supported", name)
 
-    def _end(self, key: str, response: Response) -> None:
+    def _end_request(self, key: str, response: Response) -> None:
         request = self.open_requests.get(key)
         if request is not None:
             if not request.answered:
                 self._answer(request, response)
-            self._forget(key)
+            self._remove_request(key)
 
     def _start_attempt(self, action: StartAttempt) -> None:
         request = self.open_requests.get(action.request_id)
@@ -373,7 +377,7 @@
             self._feed_superseded(action, number, finished)
             return
         if request.attempt_in_flight is not None:
-            # Two attempts of a request are never in flight together.
+            # A request has at most one attempt in flight.
             self.upstream.cancel(request.attempt_in_flight)
         deadline = request.deadline - FORCED_RESPONSE_MARGIN_S
         if action.timeout:
--- a/ingress/core/open_request.py
+++ b/ingress/core/open_request.py
@@ -1,4 +1,4 @@
-"""A request that has no response yet, and how its time is divided."""
+"""Open requests, and the deadlines derived from a client's timeout."""
 
 from __future__ import annotations
 
@@ -10,31 +10,34 @@
 from ingress.policy.settings import MAX_HOLD_UP_S
 
 POLICY_MARGIN_S: Final = 0.020
-"""Before the client's timeout: when the policy's ends."""
+"""Seconds by which the policy's timeout ends before the client's."""
 POLICY_MARGIN_DIVISOR: Final = 10
-"""The policy's margin is at most the client's timeout divided by this."""
+"""`POLICY_MARGIN_S` is limited to the client's timeout divided by this."""
 FORCED_RESPONSE_MARGIN_S: Final = 0.005
-"""Before the client's timeout: when a final response is forced."""
+"""Seconds before the end of the client's timeout at which a final response is forced."""
 DEDUPLICATION_MARGIN_S: Final = MAX_HOLD_UP_S + 0.005
-"""Before a memory of idempotency keys ends: for a retry's write, and its way to the backend."""
+"""Seconds by which the last write of a retry precedes the expiry of its idempotency key.
+
+Covers the write and the transfer to the backend.
+"""
 OPEN_REQUEST_BYTES: Final = 2048
-"""What an open request takes beside its call."""
+"""Memory that an open request takes in addition to its call, in bytes."""
 
 
 class OpenRequest:
-    """A request that the exchange owes a response, or whose end the policy does not know yet.
+    """A request that has no response yet, or of whose end the policy is not notified yet.
 
     Attributes:
-        key: The exchange's name for the request.
+        key: The exchange's id for the request.
         downstream: The client's side.
-        call: What the client asked.
-        deadline: When the client's timeout ends, by the clock.
-        attempt_count: How many attempts were started.
-        answered: Whether the client has its response, or has gone.
-        size_bytes: What the request counts against the limit on buffered bytes.
-        attempt_in_flight: The attempt that has no outcome yet.
-        possibly_ran_at: When the first attempt that may have run was started.
-        timer: Forces a final response.
+        call: The client's call.
+        deadline: The time at which the client's timeout ends.
+        attempt_count: The number of attempts that were started.
+        answered: Whether the client has received its response or has disconnected.
+        size_bytes: Bytes that the request counts against the limit on buffered bytes.
+        attempt_in_flight: The attempt that has no outcome yet, if any.
+        possibly_ran_at: The start time of the first attempt that may have run, if any.
+        timer: The timer that forces a final response.
     """
 
     __slots__ = (
@@ -62,8 +65,8 @@
         self.possibly_ran_at: float | None = None
         self.timer: TimerHandle | None = None
 
-    def received(self, time_left: float, cell: int) -> RequestReceived:
-        """Returns the policy's event for the request, which may run in `cell` only; 0 for any."""
+    def received_event(self, time_left: float, cell: int) -> RequestReceived:
+        """Returns the request's event for the policy; it may run in `cell` only, 0 for any cell."""
         call = self.call
         return RequestReceived(
             self.key,
@@ -80,22 +83,23 @@
         )
 
     def write_by(self, deadline: float, deduplication_window: float) -> float:
-        """Returns until when a further attempt that ends by `deadline` may be written.
+        """Returns the time until which another attempt, which ends by `deadline`, may be written.
 
-        The policy retries a request with an idempotency key only while backends remember the key,
-        but a connection may come up when that is over: the request would take effect a second time.
+        The policy retries a request with an idempotency key only while backends remember the key.
+        A connection may be established after that time, and a retry written to it would take effect
+        a second time.
 
         Args:
-            deadline: When the attempt ends.
+            deadline: The time at which the attempt ends.
             deduplication_window: Seconds for which backends remember the key; 0 for no key.
         """
         if self.possibly_ran_at is None or not deduplication_window:
             return deadline
-        remembered_until = self.possibly_ran_at + deduplication_window - DEDUPLICATION_MARGIN_S
-        return min(deadline, remembered_until)
+        last_write_at = self.possibly_ran_at + deduplication_window - DEDUPLICATION_MARGIN_S
+        return min(deadline, last_write_at)
 
     def describe_attempts(self, now: float) -> str:
-        """Returns what became of the request's attempts, for the log."""
+        """Returns a description of the request's attempts for the log."""
         attempt = self.attempt_in_flight
         if attempt is None:
             return f"{self.attempt_count} attempts, none in flight"
@@ -107,14 +111,15 @@
 
 
 def policy_timeout(timeout: float, time_left: float) -> float:
-    """Returns the seconds that the policy is told a client waits; 0 or less if its time is up.
+    """Returns the request's timeout for the policy, in seconds; 0 or less if it has expired.
 
-    The margin is fixed by the client's own timeout, so that the policy sees the same one whenever
-    the request was read; a request that waited unread for longer than the margin has what is left.
+    The timeout is the client's less a margin, which depends on the client's timeout alone: the
+    policy receives the same timeout however long the request waited to be read. Only a request that
+    waited for longer than the margin gets its remaining time less the margin.
 
     Args:
-        timeout: What the client said that it waits, in seconds.
-        time_left: What is left of that, in seconds.
+        timeout: The client's timeout, in seconds.
+        time_left: The remaining part of the client's timeout, in seconds.
     """
     margin = min(POLICY_MARGIN_S, timeout / POLICY_MARGIN_DIVISOR)
     if time_left < timeout - margin:
--- a/ingress/core/ports.py
+++ b/ingress/core/ports.py
@@ -1,6 +1,6 @@
-"""The sides of the exchange: clients, backends, the policy, the counter and timers, as protocols.
+"""The ports of the exchange: protocols for clients, backends, the policy, the counter and timers.
 
-Durations are seconds; points in time are the clock's, in Unix seconds.
+Durations are in seconds; points in time are in Unix seconds of the exchange's clock.
 """
 
 from __future__ import annotations
@@ -18,45 +18,49 @@
     """The client's side of one call.
 
     Attributes:
-        request_key: The exchange's name for the open request; the exchange sets it before anything
-            else happens.
+        request_key: The exchange's id for the open request; the exchange sets it as soon as it
+            opens the request.
     """
 
     request_key: str
 
     def answer(self, answer: Response) -> None:
-        """Sends the one final response; any other is dropped."""
+        """Sends the final response; further responses are dropped."""
 
 
 class Policy(Protocol):
-    """What decides: `Gateway`, or a test's stand-in.
+    """Makes the decisions: a `Gateway`, or a stub in tests.
 
     Attributes:
-        actions: What was decided so far on the event at hand.
+        actions: The actions decided so far for the current event.
     """
 
     actions: list[Action]
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Returns what is to be done about an event."""
+        """Returns the actions to carry out for an event."""
 
 
 class Attempt:
     """One attempt at one backend, from its start to its outcome.
 
     Attributes:
-        request_key: The exchange's name for the open request.
-        number: The number of the attempt among the request's, from 0.
+        request_key: The exchange's id for the open request.
+        number: The number of the attempt within the request, from 0.
         backend: The backend's id.
-        sent_at: When the attempt was started.
-        deadline: When it ends without a response.
-        call: What is to be sent.
-        write_by: From then on nothing of it may be written: it ends as one that never ran.
-        ended: Whether it has its outcome.
-        final_response: What the client is to be told at its end, if its upstream decides that.
-        connection: The upstream's own: what the attempt is on, from when it is written to its end.
-        timer: The upstream's own.
-        on_written: Called by the upstream once all of the attempt was handed to the system, if set.
+        sent_at: The time at which the attempt was started.
+        deadline: The time at which the attempt ends if there is no response.
+        call: The call to send.
+        write_by: The time from which no byte of the attempt may be written any more; an attempt
+            that is not written by then ends as one that never ran.
+        ended: Whether the attempt has an outcome.
+        final_response: The response to send to the client when the attempt ends, if the upstream
+            chooses it.
+        connection: The connection that carries the attempt, from its write to its end; used by the
+            upstream only.
+        timer: A timer used by the upstream only.
+        on_written: A function that the upstream calls once the whole attempt has been handed to the
+            operating system, if set.
     """
 
     __slots__ = (
@@ -98,37 +102,37 @@
 
 
 AttemptEndHandler = Callable[[Attempt, Outcome, bytes | None, Mapping[str, float]], None]
-"""How an upstream reports an end: attempt, outcome, the value if it was served, load report."""
+"""Receives the end of an attempt: attempt, outcome, value if it was served, load report."""
 
 
 class Upstream(Protocol):
     """Carries attempts to the backends of one protocol.
 
-    Each attempt that is started ends exactly once, by a call of the `AttemptEndHandler` that the
-    upstream was made with; that call may come before `start` returns.
+    Each started attempt ends exactly once, by a call of the `AttemptEndHandler` that the upstream
+    was created with; that call may occur before `start` returns.
     """
 
     def change(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
-        """Takes over entries of the endpoint list.
+        """Applies entries of the endpoint list.
 
         Args:
-            full: Whether they are the complete list; else those that changed.
+            full: Whether `backends` is the complete list rather than the changed entries.
             backends: The entries.
-            addresses: Host and port of each, by the backend's id.
+            addresses: Host and port of each backend, by its id.
         """
 
     def start(self, attempt: Attempt) -> None:
         """Starts an attempt."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Gives the attempt up: when this returns, nothing more of it can go out."""
+        """Cancels the attempt: after this returns, none of its bytes are written any more."""
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends the attempt as `SUPERSEDED`, before this returns, if nothing of it is written yet.
+        """Ends the attempt as `SUPERSEDED`, before this returns, if none of it is written yet.
 
-        What is written runs on, though nobody waits for it any more.
+        An attempt that has been written continues, though no client waits for it any more.
         """
 
     def close_idle(self, backend: str) -> None:
@@ -143,8 +147,8 @@
     """Where a call with an idempotency key may run.
 
     Attributes:
-        cell: The number of the only group of backends in which it may run; 0 for any.
-        retry_after: Above 0, it may run nowhere before so many seconds have passed.
+        cell: The number of the only cell in which the call may run; 0 for any cell.
+        retry_after: If above 0, seconds for which the call may not run anywhere.
     """
 
     cell: int = 0
@@ -152,26 +156,26 @@
 
 
 class PlacementTracker(Protocol):
-    """What is known, beyond one request, of where calls with a key may have run."""
+    """Tracks, across requests, where calls with an idempotency key may have run."""
 
     def admit(self, call: Call, now: float) -> PlacementConstraint:
-        """Returns where a call that has just come may run."""
+        """Returns where a newly received call may run."""
 
     def sent(self, attempt: Attempt, now: float) -> None:
-        """Records that an attempt is about to go out."""
+        """Records an attempt that is about to be sent."""
 
     def ended(self, attempt: Attempt, outcome: Outcome) -> None:
         """Records an attempt's outcome."""
 
 
 class Listener(Protocol):
-    """Where clients connect."""
+    """Accepts the connections of clients."""
 
     def open(self) -> None:
-        """Begins to accept connections."""
+        """Starts to accept connections."""
 
     def drain(self) -> None:
-        """Reads what has come, then closes each connection as it falls idle."""
+        """Serves the requests already received, then closes each connection once it is idle."""
 
     def empty(self) -> bool:
         """Returns whether every connection is closed."""
@@ -181,14 +185,14 @@
 
 
 class Counter(Protocol):
-    """The counter that all gateways share."""
+    """The counter shared by all gateways."""
 
     def call(self, key: int, amount: float, lifetime: float) -> None:
-        """Adds to a key, whose one `CounterReply` never comes before this returns.
+        """Adds an amount to a key; its one `CounterReply` always follows after this returns.
 
         Args:
             key: The counter key.
-            amount: The units to add; 0 asks for the total only.
+            amount: The units to add; 0 reads the total only.
             lifetime: Seconds after which the counter may forget the key.
         """
 
@@ -197,11 +201,11 @@
     """A timer that is set."""
 
     def cancel(self) -> None:
-        """Lets the timer never fire; one that has fired stays so."""
+        """Prevents the timer from firing; has no effect on one that has fired."""
 
 
 class Timers(Protocol):
-    """The part of an event loop that the exchange needs."""
+    """The part of an event loop that the exchange uses."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
         """Calls `callback` with `args` after `delay` seconds."""
--- a/ingress/core/timer_wheel.py
+++ b/ingress/core/timer_wheel.py
@@ -1,6 +1,6 @@
-"""One timer wheel for all requests and attempts: a timer of the event loop for each costs far more.
+"""A timer wheel shared by all requests and attempts; one event loop timer for each costs far more.
 
-After the hashed wheels of Varghese and Lauck (1987), with a heap of slots in place of a ring.
+Based on the hashed wheels of Varghese and Lauck (1987), with a heap of slots instead of a ring.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 log = logging.getLogger(__name__)
 
 RESOLUTION_S: Final = 0.001
-"""Timers are due at multiples of it."""
+"""Timers are due at multiples of this."""
 ROUNDING_TOLERANCE_S: Final = 1e-6
-"""By which a timer may be early, so that no clock's rounding wakes the wheel in vain."""
+"""Seconds by which a timer may fire early, so that clock rounding causes no empty wake-up."""
 
 
 class ScheduledTimer:
-    """One timer.  It stands in the slot of its time until it fires or is cancelled."""
+    """A timer, which stays in the slot of its due time until it fires or is cancelled."""
 
     __slots__ = ("args", "callback", "slot", "wheel")
 
@@ -35,7 +35,7 @@
         self.callback: Callable[..., object] | None = callback
 
     def cancel(self) -> None:
-        """Calls nothing any more, and lets go of what would have been called."""
+        """Cancels the timer and drops its references to the callback and its arguments."""
         if self.callback is not None:
             self.callback = None
             self.args = ()
@@ -43,18 +43,18 @@
 
 
 class TimerWheel:
-    """Timers that share one timer of the event loop: the earliest.
+    """Timers that share one timer of the event loop, which is set for the earliest of them.
 
-    Setting and cancelling one costs the same however many there are, but for the first in its slot,
-    which costs the logarithm of the slots in use.  Cancelled timers hold nothing, and a slot that
-    they leave empty wakes nobody, unless it is the one that the loop's timer was set for.
+    Setting and cancelling a timer takes constant time, except for the first timer in a slot, which
+    takes time logarithmic in the number of slots in use. A cancelled timer holds no references. A
+    slot whose timers are all cancelled causes no wake-up, unless the loop's timer is set for it.
 
     Attributes:
-        slots: The timers in the order in which they were set, by the number of their slot.
-        slot_heap: The numbers of all slots in use, and perhaps of some that are not any more.
+        slots: The timers of each slot in the order in which they were set, by slot number.
+        slot_heap: A heap of the numbers of all slots in use, and possibly of some emptied slots.
         loop_timer: The event loop's timer, if one is set.
-        loop_timer_slot: The slot that it was set for.
-        firing: Whether timers are being called now.
+        loop_timer_slot: The number of the slot for which `loop_timer` was set.
+        firing: Whether timers are being fired.
     """
 
     def __init__(
@@ -80,15 +80,15 @@
             slot = {}
             self.slots[number] = slot
             heappush(self.slot_heap, number)
-            # While timers fire, earlier slots may still be on the heap: the loop's timer is set for
-            # the first of all when that is over.
+            # While timers fire, earlier slots may still be on the heap. The loop's timer is then
+            # set for the earliest slot when firing ends.
             if not self.firing and (self.loop_timer is None or number < self.loop_timer_slot):
                 self._set_loop_timer(number)
         slot[timer] = None
         return timer
 
     def remove(self, timer: ScheduledTimer) -> None:
-        """Takes a timer out of its slot."""
+        """Removes a timer from its slot."""
         slot = self.slots.get(timer.slot)
         if slot is not None and timer in slot:
             del slot[timer]
@@ -122,10 +122,10 @@
         callback = timer.callback
         args = timer.args
         if callback is None:
-            return  # cancelled by one that fired just before it
+            return  # cancelled by an earlier callback of its slot
         timer.callback = None
         timer.args = ()
         try:
             callback(*args)
-        except Exception:  # one callback's fault must not stop the other timers of its slot
-            log.exception("a timer's callback failed")
+        except Exception:  # the other timers of the slot must still fire
+            log.exception("timer callback failed")
--- a/ingress/core/upstream_dispatcher.py
+++ b/ingress/core/upstream_dispatcher.py
@@ -1,4 +1,4 @@
-"""Several upstreams behind one port: each backend belongs to the upstream of its protocol."""
+"""An upstream that dispatches each backend's attempts to the upstream of its protocol."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 class UpstreamDispatcher:
-    """An `Upstream` made of others.
+    """An `Upstream` that delegates to other upstreams.
 
     Attributes:
-        upstreams: The others, by name.
-        upstream_of: Returns the name of the one that a backend, given by its id, belongs to.
+        upstreams: The other upstreams, by name.
+        upstream_of: Returns the name of the upstream to which a backend belongs, by the backend's
+            id.
     """
 
     def __init__(
@@ -25,26 +26,26 @@
     def change(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
-        """Passes its entries to each upstream; those that have none hear of complete lists only."""
+        """Passes each upstream its own entries; those without entries receive full lists only."""
         for name, upstream in self.upstreams.items():
-            own = tuple(info for info in backends if self.upstream_of(info.id) == name)
-            if own or full:
-                upstream.change(full, own, {info.id: addresses[info.id] for info in own})
+            entries = tuple(entry for entry in backends if self.upstream_of(entry.id) == name)
+            if entries or full:
+                upstream.change(full, entries, {entry.id: addresses[entry.id] for entry in entries})
 
     def start(self, attempt: Attempt) -> None:
         """Starts the attempt at its backend's upstream."""
         self._upstream(attempt.backend).start(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Gives the attempt up: when this returns, nothing more of it can go out."""
+        """Cancels the attempt: after this returns, none of its bytes are written any more."""
         self._upstream(attempt.backend).cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends the attempt if nothing of it is written yet."""
+        """Ends the attempt if none of its bytes have been written yet."""
         self._upstream(attempt.backend).withdraw(attempt)
 
     def close_idle(self, backend: str) -> None:
-        """Closes the backend's connections that carry no attempt."""
+        """Closes the connections to a backend that carry no attempt."""
         self._upstream(backend).close_idle(backend)
 
     def close(self) -> None:
