--- a/ingress/core/exchange.py
+++ b/ingress/core/exchange.py
@@ -220,7 +220,7 @@
         """Applies the endpoint list, or changes to it.
 
         Args:
-            kind: Whether `backends` holds all entries or the changed ones.
+            kind: Which entries of the list `backends` holds.
             backends: Entries of the list.
             addresses: Host and port of each backend, by its id.
             version: A number that increases with each change of the list.
--- a/ingress/idempotency/__init__.py
+++ b/ingress/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""Where an idempotent request may run while backends do not share one memory of keys.
+"""Placement of requests with idempotency keys while backends do not all share a memory of keys.
 
-No I/O, no clock.
+This package does no I/O and reads no clock.
 """
--- a/ingress/idempotency/in_doubt.py
+++ b/ingress/idempotency/in_doubt.py
@@ -1,6 +1,6 @@
-"""Submissions that may have run: in which cell, and until when that counts.
+"""A table of submissions that may have run, with the cell of each and an expiry time.
 
-A cell names one deduplication scope: its backends share one memory of idempotency keys.
+A cell is a deduplication scope: its backends share one memory of idempotency keys.
 """
 
 from __future__ import annotations
@@ -14,10 +14,12 @@
 
 @dataclass(slots=True)
 class InDoubtEntry:
-    """A submission that may have run in `cell`.
+    """A submission that may have run.
 
-    It counts until `expires_at`, in seconds of the caller's clock. `request_key` names the request
-    of its only attempt, or is empty if there were several.
+    Attributes:
+        cell: The cell in which it may have run.
+        expires_at: The time until which the entry is valid, in seconds of the caller's clock.
+        request_key: The key of the request that made its only attempt; "" after several attempts.
     """
 
     cell: int
@@ -26,10 +28,10 @@
 
 
 class InDoubtTable:
-    """The submissions attempted lately, each for `window_s` seconds from its last attempt.
+    """The recently attempted submissions, each kept for `window_s` seconds after its last attempt.
 
-    Holds `max_submissions` at most. The oldest is evicted when there is no room, which `evicted`
-    counts; for such a one key affinity alone decides.
+    The table holds at most `max_submissions` entries. A further submission evicts the oldest entry,
+    which `evicted` counts; key affinity alone then decides the placement of the evicted submission.
     """
 
     def __init__(self, window_s: float, max_submissions: int) -> None:
@@ -41,7 +43,7 @@
     def record_attempt(
         self, submission: Submission, cell: int, now: float, request_key: str
     ) -> None:
-        """Notes that an attempt of that request went to that cell, where it may run."""
+        """Records an attempt of the request, which may run in the cell."""
         self._expire(now)
         if submission in self.entries:
             request_key = ""  # an earlier attempt may have run as well
@@ -52,7 +54,7 @@
             self.evicted += 1
 
     def record_never_ran(self, submission: Submission, request_key: str) -> None:
-        """Forgets the submission, which did not run, if that was its only attempt."""
+        """Removes a submission that did not run, if the request made its only attempt."""
         entry = self.entries.get(submission)
         if entry is not None and entry.request_key == request_key:
             del self.entries[submission]
@@ -65,6 +67,6 @@
         return entry.cell
 
     def _expire(self, now: float) -> None:
-        # Entries lie in the order in which they expire: the window is the same for all.
+        # Entries are in order of expiry, since all have the same window.
         while self.entries and next(iter(self.entries.values())).expires_at <= now:
             self.entries.popitem(last=False)
--- a/ingress/idempotency/placement.py
+++ b/ingress/idempotency/placement.py
@@ -1,4 +1,4 @@
-"""In which cell an idempotent request may run, by the attempts seen here and by key affinity."""
+"""Selects the cell for a request with an idempotency key by its attempts and key affinity."""
 
 from __future__ import annotations
 
@@ -17,27 +17,31 @@
 log = logging.getLogger(__name__)
 
 ANYWHERE: Final = PlacementConstraint()
-MAX_SUBMISSIONS: Final = 20_000  # in doubt; some 300 bytes each
+MAX_SUBMISSIONS: Final = 20_000  # in doubt; about 300 bytes each
 
-# Keys of the counts that the program reports.
-ATTEMPT_SEEN: Final = "held-seen"  # held to the cell of an attempt seen here
-HOME_AVAILABLE: Final = "held-home"  # held to its home cell
-HOME_UNAVAILABLE: Final = "moved-home"  # held to another: no backend of its home takes requests
-REJECTED: Final = "unsure"  # rejected, as their home at other gateways was or may be another
-RETRY_ELSEWHERE: Final = "held-back"  # may have run, while another cell would have taken a retry
+# Keys of the reported counts.
+ATTEMPT_IN_DOUBT: Final = "held-seen"  # bound to the cell of an attempt made by this gateway
+HOME_AVAILABLE: Final = "held-home"  # bound to its home cell
+HOME_UNAVAILABLE: Final = "moved-home"  # bound to another cell: its home accepts no requests
+REJECTED: Final = "unsure"  # rejected: other gateways may have, or have had, another home for it
+RETRY_ELSEWHERE: Final = "held-back"  # may have run, while another cell could have accepted a retry
 
 
 def submission_of(call: Call) -> Submission:
-    """Returns what identifies the call and all its retries."""
+    """Returns the identity shared by a call and all its retries."""
     return call.customer, call.request_class, call.idempotency_key
 
 
 class Placement:
     """Decides where calls with an idempotency key may run; see `core.ports.PlacementTracker`.
 
-    `window_s` is how long backends remember keys and `settle_s` how long after its start a
-    backend's generation takes effect, both in seconds. `counts` has the keys above;
-    `cell_by_backend` is by the backends' ids.
+    Attributes:
+        window_s: Seconds for which backends remember keys.
+        key_affinity: The home cells. `settle_s` is the number of seconds after a backend's start at
+            which its generation takes effect.
+        in_doubt: The submissions that may have run.
+        counts: The counts, by the keys above.
+        cell_by_backend: The cell of each backend, by the backend's id.
     """
 
     def __init__(
@@ -52,7 +56,7 @@
     def endpoints_changed(
         self, backends: Iterable[tuple[str, Backend]], is_full: bool, now: float
     ) -> None:
-        """Takes the endpoint list or what changed: each backend's own name, and its entry."""
+        """Applies the full endpoint list or its changes, given as pairs of name and entry."""
         entries = list(backends)
         if is_full:
             self.cell_by_backend.clear()
@@ -73,7 +77,7 @@
     def _describe(
         self, call: Call, constraint: PlacementConstraint, now: float
     ) -> dict[str, object]:
-        """Returns what a decision rested on, for the log; times are seconds."""
+        """Returns the inputs and the result of a decision, for the log; times are in seconds."""
         affinity = self.key_affinity
         submission = submission_of(call)
         position = ring_position("/".join(submission))
@@ -96,14 +100,14 @@
     def _constraint_of(self, call: Call, now: float) -> PlacementConstraint:
         submission = submission_of(call)
         if cell := self.in_doubt.cell_of(submission, now):
-            self.counts[ATTEMPT_SEEN] += 1
+            self.counts[ATTEMPT_IN_DOUBT] += 1
             return PlacementConstraint(cell)
         affinity = self.key_affinity
-        if call.is_retry and (wait := self._until_window_is_known(now)) > 0:
+        if call.is_retry and (wait := self._time_until_window_is_known(now)) > 0:
             return self._reject(wait)
         if not affinity.spans_several_cells(now - self.window_s):
             return ANYWHERE
-        if (wait := self._until_lists_agree(now)) > 0:
+        if (wait := self._time_until_lists_agree(now)) > 0:
             return self._reject(wait)
         position = ring_position("/".join(submission))
         home = affinity.home_cell(position, now, False)
@@ -111,12 +115,12 @@
             return self._constraint_while_all_settle(call, position)
         available = affinity.home_cell(position, now, True) or home
         if not affinity.ready_counts.get(available):
-            # Other gateways may not have heard that it takes no requests any more.
+            # Other gateways may not know yet that the cell accepts no requests any more.
             return self._reject(self.window_s if call.is_retry else affinity.list_skew_s)
         if call.is_retry:
             possible = affinity.possible_cells(position, Period(now - self.window_s, now))
             if possible != {available}:
-                return self._reject(self._uncertain_for(home, available, now))
+                return self._reject(self._retry_delay(home, available, now))
         self.counts[HOME_AVAILABLE if home == available else HOME_UNAVAILABLE] += 1
         return PlacementConstraint(available)
 
@@ -127,19 +131,20 @@
             return self._reject(self.window_s / 2)
         return PlacementConstraint(cell)
 
-    def _until_lists_agree(self, now: float) -> float:
-        """Returns for how many seconds others may hold older lists than the first one here."""
+    def _time_until_lists_agree(self, now: float) -> float:
+        """Returns the seconds for which other gateways may have older lists than the first here."""
         return self.key_affinity.first_list_at + self.key_affinity.list_skew_s - now
 
-    def _until_window_is_known(self, now: float) -> float:
-        """Returns for how many seconds others may have gone by lists older than the first one here.
+    def _time_until_window_is_known(self, now: float) -> float:
+        """Returns the seconds until a window has passed without lists older than the first here.
 
-        Backends that were on them keep their places there until all gateways have heard.
+        A backend on an older list keeps its place at other gateways until all of them have received
+        the change.
         """
-        return self._until_lists_agree(now) + self.key_affinity.list_skew_s + self.window_s
+        return self._time_until_lists_agree(now) + self.key_affinity.list_skew_s + self.window_s
 
-    def _uncertain_for(self, home: int, available: int, now: float) -> float:
-        """Returns after how many seconds a retry has a chance, its home having changed lately."""
+    def _retry_delay(self, home: int, available: int, now: float) -> float:
+        """Returns the seconds after which to send a retry again whose home changed recently."""
         if home == available:
             return self.window_s / 2
         unavailable_at = self.key_affinity.availability[home].latest_change_at()
@@ -150,14 +155,17 @@
         return PlacementConstraint(0, min(self.window_s, wait))
 
     def sent(self, attempt: Attempt, now: float) -> None:
-        """Notes an attempt with an idempotency key that is about to be written."""
+        """Records an attempt with an idempotency key that is about to be written."""
         if cell := self.cell_by_backend.get(attempt.backend):
             self.in_doubt.record_attempt(
                 submission_of(attempt.call), cell, now, attempt.request_key
             )
 
     def ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Notes an outcome. Proof that nothing ran frees a submission that had no other attempt."""
+        """Records an outcome.
+
+        Proof that nothing ran releases a submission that had no other attempt.
+        """
         if outcome.never_ran:
             self.in_doubt.record_never_ran(submission_of(attempt.call), attempt.request_key)
         elif outcome is not Outcome.OK and self._another_cell_is_ready(attempt):
--- a/ingress/idempotency/timeline.py
+++ b/ingress/idempotency/timeline.py
@@ -1,21 +1,21 @@
-"""A value that changes at known times, as far back as it matters."""
+"""A value that changes at known times, with a bounded history."""
 
 from __future__ import annotations
 
 from math import inf
 from typing import Final, Generic, TypeVar
 
-MAX_CHANGES: Final = 4  # remembered of one timeline
+MAX_CHANGES: Final = 4  # kept in one timeline
 
 Value = TypeVar("Value")
 
 
 class Timeline(Generic[Value]):
-    """What a value was, is, and will be. Times are seconds of the caller's clock.
+    """The values of a variable over time. Times are seconds of the caller's clock.
 
     Attributes:
-        changes: When each value takes effect, and the value, in order of time.
-        known_since: What held before is forgotten.
+        changes: Pairs of the time at which a value takes effect and the value, in order of time.
+        known_since: The start of the history; earlier values have been dropped.
     """
 
     __slots__ = ("changes", "known_since")
@@ -28,9 +28,9 @@
         return len(self.changes)
 
     def change(self, at: float, value: Value) -> None:
-        """Lets a value take effect, in place of all that were to take effect later.
+        """Schedules a value to take effect at a time, replacing all changes scheduled after it.
 
-        One that took effect at the same time stays, for `values_between`.
+        A value that takes effect at the same time is kept, so that `values_between` returns it.
         """
         if at == -inf:
             self.changes.clear()
@@ -44,31 +44,31 @@
             self.known_since = self.changes[0][0]
 
     def latest(self) -> Value:
-        """Returns the value that holds once all changes have taken effect."""
+        """Returns the value that applies after all changes have taken effect."""
         return self.changes[-1][1]
 
     def latest_change_at(self) -> float:
-        """Returns when that value takes effect."""
+        """Returns the time at which the latest value takes effect."""
         return self.changes[-1][0]
 
     def value_at(self, time: float) -> Value:
-        """Returns the value at a time; the earliest that is known if that is forgotten."""
+        """Returns the value at a time, or the earliest known value if the history starts later."""
         for effective_at, value in reversed(self.changes):
             if effective_at <= time:
                 return value
         return self.changes[0][1]
 
     def values_between(self, start: float, end: float) -> set[Value] | None:
-        """Returns all values that held at some time after `start` up to `end`.
+        """Returns all values that applied at any time after `start` and up to `end`.
 
-        None if what held is forgotten.
+        Returns None if the history starts later than `start`.
         """
         if start < self.known_since:
             return None
-        found = set[Value]()
-        until = inf
+        in_effect = set[Value]()
+        next_change_at = inf
         for effective_at, value in reversed(self.changes):
-            if effective_at <= end and until > start:
-                found.add(value)
-            until = effective_at
-        return found
+            if effective_at <= end and next_change_at > start:
+                in_effect.add(value)
+            next_change_at = effective_at
+        return in_effect
