--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange, whatever the policy, the upstream and the clients do, in any order."""
+"""Tests of the exchange with arbitrary actions of the policy, the upstream and the clients."""
 
 from __future__ import annotations
 
@@ -52,63 +52,65 @@
 
 
 class Timers:
-    """A clock and the calls that wait for it."""
+    """A clock in virtual time, and the timers set on it."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.count = 0
-        self.waiting: list[tuple[float, int, Timer]] = []
+        self.pending: list[tuple[float, int, Timer]] = []
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
         assert delay >= 0
         timer = Timer(callback, args)
         self.count += 1
-        heapq.heappush(self.waiting, (self.now + delay, self.count, timer))
+        heapq.heappush(self.pending, (self.now + delay, self.count, timer))
         return timer
 
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
-        while self.waiting and self.waiting[0][0] <= end:
-            self.now, _, timer = heapq.heappop(self.waiting)
+        while self.pending and self.pending[0][0] <= end:
+            self.now, _, timer = heapq.heappop(self.pending)
             if not timer.cancelled:
                 timer.callback(*timer.args)
         self.now = end
 
 
 class Client:
-    """The downstream of one call; it may disconnect as soon as it is answered."""
+    """The downstream of one call, which may disconnect as soon as it is answered."""
 
-    def __init__(self, world: Exchanges, deadline: float, disconnects: bool) -> None:
-        self.world = world
+    def __init__(self, machine: Exchanges, deadline: float, disconnects: bool) -> None:
+        self.machine = machine
         self.deadline = deadline
         self.disconnects = disconnects
         self.request_key = ""
-        self.gone = False
+        self.has_disconnected = False
         self.responses: list[Response] = []
 
     def answer(self, answer: Response) -> None:
-        self.world.expect(not self.gone, "no response for one that went away")
-        self.world.expect(self.world.timers.now <= self.deadline, "no response after its time")
+        self.machine.expect(not self.has_disconnected, "no response to a disconnected client")
+        self.machine.expect(
+            self.machine.timers.now <= self.deadline, "no response after the client's timeout"
+        )
         self.responses.append(answer)
         if self.disconnects:
-            self.world.exchange.client_disconnected(self)
+            self.machine.exchange.client_disconnected(self)
 
 
 class DrawnPolicy:
-    """Does what was drawn for the next event, in any order, and may fail in the middle of it."""
+    """Returns the drawn actions for the next event, in any order, and may raise in between."""
 
     def __init__(self) -> None:
         self.plan: list[str] = []
         self.actions: list[Action] = []
-        self.seen: list[Event] = []
+        self.handled_events: list[Event] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        self.seen.append(event)
+        self.handled_events.append(event)
         self.actions = []
         key = getattr(event, "request_id", "1")
         plan = self.plan
         if not isinstance(event, RequestReceived | TimerFired):
-            self.plan = []  # what follows from what was done itself ends here
+            self.plan = []  # no further actions for events that its own actions cause
         for step in plan:
             self.actions += self._actions(step, key)
         return self.actions
@@ -125,7 +127,7 @@
                 return [CancelAttempt(key, number) for number in range(3)]
             case "timer":
                 return [SetTimer(0.1, 1)]
-            case "other":  # about a request that is over, or never was
+            case "other":  # actions on requests that have ended or never existed
                 return [
                     StartAttempt("1", "s1"),
                     FailRequest("2"),
@@ -133,13 +135,13 @@
                     StartProbe("s1"),
                 ]
             case _:
-                raise RuntimeError("a fault in the policy")
+                raise RuntimeError("fault in the policy")
 
 
 class Exchanges(RuleBasedStateMachine):
-    """One exchange, its policy, upstream and clients.
+    """One exchange with its policy, upstream and clients.
 
-    As the upstream it keeps attempts until they are ended.
+    The machine itself is the upstream, which keeps each attempt until a rule ends it.
     """
 
     def __init__(self) -> None:
@@ -161,24 +163,24 @@
         self.withdrawals = 0
         self.violations: list[str] = []
 
-    def expect(self, holds: bool, rule: str) -> None:
-        """Records a broken rule: the exchange logs what is raised here, and goes on."""
-        if not holds:
+    def expect(self, is_met: bool, rule: str) -> None:
+        """Records a violated rule, since the exchange only logs exceptions raised here."""
+        if not is_met:
             self.violations.append(rule)
 
     # The upstream
 
     def change(self, full: bool, backends: Any, addresses: Any) -> None:
-        self.listing = backends
+        self.listed_backends = backends
 
     def start(self, attempt: Attempt) -> None:
         key = attempt.request_key
         client = next(client for client in self.clients if client.request_key == key)
         self.expect(not client.responses, "no attempt after the response")
-        self.expect(not client.gone, "no attempt after the client went away")
-        self.expect(attempt.deadline <= client.deadline, "no attempt beyond the client's time")
+        self.expect(not client.has_disconnected, "no attempt after the client disconnected")
+        self.expect(attempt.deadline <= client.deadline, "no attempt beyond the client's timeout")
         others = [other for other in self.in_flight if other.request_key == key]
-        self.expect(not others, "no two attempts of a request in flight")
+        self.expect(not others, "at most one attempt of a request in flight")
         self.in_flight.append(attempt)
         if self.outcome_at_once is not None:
             self.end(attempt, self.outcome_at_once)
@@ -187,15 +189,15 @@
         self.end(attempt, Outcome.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Every other one was not written yet."""
+        """Ends every other attempt as one that was not written yet."""
         request = self.exchange.open_requests[attempt.request_key]
-        self.expect(request.answered, "nothing withdrawn that is waited for")
+        self.expect(request.answered, "no withdrawal before the client is answered")
         self.withdrawals += 1
         if self.withdrawals % 2:
             self.end(attempt, Outcome.SUPERSEDED)
 
     def close_idle(self, backend: str) -> None:
-        raise RuntimeError("a fault in the upstream")
+        raise RuntimeError("fault in the upstream")
 
     def close(self) -> None:
         pass
@@ -206,7 +208,7 @@
             value = b"value" if outcome is Outcome.OK else None
             self.exchange.attempt_ended(attempt, outcome, value, {})
 
-    # What happens
+    # Rules and invariants
 
     plans = st.lists(
         st.sampled_from(["send", "send", "reject", "fail", "cancel", "timer", "other", "fault"]),
@@ -263,33 +265,33 @@
     def disconnect(self, pick: int, plan: list[str]) -> None:
         self.policy.plan = list(plan)
         client = self.clients[pick % len(self.clients)]
-        client.gone = client.gone or not client.responses
+        client.has_disconnected = client.has_disconnected or not client.responses
         self.exchange.client_disconnected(client)
 
     @rule(seconds=st.floats(0.001, 3.0), plan=plans)
     def time_passes(self, seconds: float, plan: list[str]) -> None:
-        self.policy.plan = [step for step in plan if step != "timer"]  # or it would never end
+        self.policy.plan = [step for step in plan if step != "timer"]  # else it never ends
         self.timers.advance(seconds)
 
     @rule()
-    def process_ends(self) -> None:
+    def process_shuts_down(self) -> None:
         self.exchange.fail_open_requests()
-        assert all(client.responses or client.gone for client in self.clients)
+        assert all(client.responses or client.has_disconnected for client in self.clients)
 
     @invariant()
-    def no_rule_is_broken(self) -> None:
+    def no_expectation_is_violated(self) -> None:
         assert not self.violations
 
     @invariant()
     def each_request_is_answered_once_and_in_time(self) -> None:
         for client in self.clients:
             assert len(client.responses) <= 1
-            ends = len(client.responses) + client.gone
-            assert ends == 1 or self.timers.now < client.deadline
-            assert ends or client.request_key in self.exchange.open_requests
+            end_count = len(client.responses) + client.has_disconnected
+            assert end_count == 1 or self.timers.now < client.deadline
+            assert end_count or client.request_key in self.exchange.open_requests
 
     @invariant()
-    def tables_agree(self) -> None:
+    def tables_are_consistent(self) -> None:
         in_flight = {(attempt.request_key, attempt.number) for attempt in self.in_flight}
         assert in_flight == set(self.exchange.attempts)
         sizes = [request.size_bytes for request in self.exchange.open_requests.values()]
@@ -301,7 +303,7 @@
         for attempt in list(self.in_flight):
             self.end(attempt, Outcome.RESET)
         assert not self.violations
-        assert all(len(client.responses) + client.gone == 1 for client in self.clients)
+        assert all(len(client.responses) + client.has_disconnected == 1 for client in self.clients)
         exchange = self.exchange
         assert not exchange.open_requests
         assert not exchange.client_request_ids
@@ -317,16 +319,16 @@
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES)
-def test_a_value_serves_and_nothing_else_does(outcome: Outcome) -> None:
-    world = Exchanges()
-    world.list_backends()
-    world.policy.plan = ["send"]
-    client = Client(world, world.timers.now + 1.0, False)
-    world.clients.append(client)
+def test_only_an_attempt_with_a_value_serves_its_request(outcome: Outcome) -> None:
+    machine = Exchanges()
+    machine.list_backends()
+    machine.policy.plan = ["send"]
+    client = Client(machine, machine.timers.now + 1.0, False)
+    machine.clients.append(client)
     call = Call(b"a", "c", "read", "basic", 1.0, 1.0, 1, 0, False, False)
-    world.exchange.request(client, call, world.timers.now)
-    world.policy.plan = []
-    world.end(world.in_flight[0], outcome)
-    world.timers.advance(2.0)
+    machine.exchange.request(client, call, machine.timers.now)
+    machine.policy.plan = []
+    machine.end(machine.in_flight[0], outcome)
+    machine.timers.advance(2.0)
     kind = ResponseKind.SERVED if outcome is Outcome.OK else ResponseKind.FAILED
     assert [response.kind for response in client.responses] == [kind]
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Where idempotent requests may run while backends share no one memory of idempotency keys."""
+"""Tests of the placement of idempotent requests on backends with several memories of keys."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from ingress.policy.events import Backend, Outcome, Readiness
 
 WINDOW_S, SETTLE_S = 4.0, 1.0
-LIST_SKEW_S = SETTLE_S / 2  # within which all gateways hear of a change
+LIST_SKEW_S = SETTLE_S / 2  # within which all gateways receive a change
 OLD, NEW = 1, 2
 
 
@@ -43,37 +43,37 @@
     return [backend(n, OLD if n < old else NEW) for n in range(old + new)]
 
 
-def test_all_gateways_derive_the_same_home_and_shares_follow_the_backends() -> None:
+def test_all_gateways_derive_the_same_homes_in_proportion_to_the_backends() -> None:
     first, second = KeyAffinity(SETTLE_S), KeyAffinity(SETTLE_S)
     first.endpoints_changed(fleet(6, 3), True, 0.0)
-    for row in reversed(fleet(6, 3)):  # listed in another order, one by one
-        second.endpoints_changed([row], False, 0.0)
+    for entry in reversed(fleet(6, 3)):  # in reverse order, one by one
+        second.endpoints_changed([entry], False, 0.0)
     homes = [first.home_cell(ring_position(str(n)), 1.0, False) for n in range(4000)]
     assert homes == [second.home_cell(ring_position(str(n)), 1.0, False) for n in range(4000)]
     assert 0.2 < Counter(homes)[NEW] / 4000 < 0.47
 
 
-def test_a_generation_takes_effect_at_one_moment_and_moves_only_its_own_submissions() -> None:
+def test_a_new_generation_takes_effect_at_its_time_and_moves_only_its_own_submissions() -> None:
     affinity = KeyAffinity(SETTLE_S)
     affinity.endpoints_changed(fleet(9, 0), True, 0.0)
     affinity.endpoints_changed([backend(4, OLD, state=Readiness.DRAINING)], False, 9.0)
     affinity.endpoints_changed([backend(4, OLD, state=Readiness.REMOVED)], False, 9.5)
-    # When one gateway learns of it; another learns of it later.
+    # The time at which this gateway receives the change; others receive it at other times.
     affinity.endpoints_changed([backend(4, NEW, started=10.0)], False, 10.4)
     points = [ring_position(str(n)) for n in range(2000)]
     assert {affinity.home_cell(p, 10.99, False) for p in points} == {OLD}
-    moved = sum(affinity.home_cell(p, 11.0, False) == NEW for p in points)
-    assert 0.04 < moved / 2000 < 0.2
+    moved_count = sum(affinity.home_cell(p, 11.0, False) == NEW for p in points)
+    assert 0.04 < moved_count / 2000 < 0.2
 
 
-def test_a_home_without_ready_backends_is_left_for_the_next_and_its_retries_wait() -> None:
+def test_a_home_without_ready_backends_is_skipped_and_its_retries_are_rejected() -> None:
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(1, 3), True, 0.0)
     key = next(n for n in range(99) if placement.admit(call(n), 1.0).cell == OLD)
     placement.endpoints_changed([backend(0, OLD, state=Readiness.DRAINING)], False, 5.0)
     assert placement.admit(call(key), 6.0) == PlacementConstraint(NEW)
-    # A marked retry may have run there: it is rejected until the old cell has forgotten its key,
-    # also what a gateway sent there that heard of the drain later.
+    # A marked retry may have run there. It is rejected until the old cell has forgotten its key,
+    # even if a gateway that received the drain later sent it there.
     constraint = placement.admit(call(key, True), 6.0)
     assert constraint.cell == 0
     assert constraint.retry_after == pytest.approx(3.0 + LIST_SKEW_S)
@@ -83,8 +83,8 @@
     assert placement.counts["moved-home"] == 1
 
 
-def test_a_gateway_that_starts_late_makes_retries_wait_until_it_knows_a_whole_window() -> None:
-    """Guards against a retry placed by a gateway that doesn't know which backends have left."""
+def test_a_newly_started_gateway_rejects_retries_until_its_history_covers_a_window() -> None:
+    """Guards against a retry placed by a gateway that doesn't know of backends removed recently."""
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(
         [backend(0, OLD, state=Readiness.DRAINING), *fleet(1, 3)[1:]], True, 100.0
@@ -99,7 +99,7 @@
         )
         == OLD
     )
-    # Others keep a backend that left for twice the time within which all hear of it, at most.
+    # Other gateways keep a removed backend for at most twice the list skew.
     known_at = 100.0 + 2 * LIST_SKEW_S + WINDOW_S
     assert placement.admit(call(key, True), 101.0).retry_after == pytest.approx(known_at - 101.0)
     placement.endpoints_changed([backend(0, OLD, state=Readiness.REMOVED)], False, 102.0)
@@ -108,7 +108,7 @@
     assert placement.admit(call(key, True), known_at + 0.1) == PlacementConstraint()
 
 
-def test_a_marked_retry_whose_home_has_just_changed_waits() -> None:
+def test_a_marked_retry_is_rejected_for_a_window_after_its_home_changes() -> None:
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(4, 0), True, 0.0)
     placement.endpoints_changed([backend(0, NEW, started=9.0)], False, 9.1)
@@ -117,23 +117,23 @@
     assert placement.admit(call(key, True), 10.5 + WINDOW_S) == PlacementConstraint(NEW)
 
 
-def test_once_the_other_cell_has_forgotten_its_keys_nothing_is_constrained() -> None:
+def test_placement_is_unconstrained_once_the_removed_cell_has_forgotten_its_keys() -> None:
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(1, 2), True, 0.0)
     placement.endpoints_changed([backend(0, OLD, state=Readiness.REMOVED)], False, 5.0)
     assert all(placement.admit(call(n), 8.9).cell == NEW for n in range(20))
-    # What a gateway sent there that heard of the change later is forgotten later.
+    # Keys sent there by a gateway that received the change later are forgotten later.
     assert all(placement.admit(call(n), 9.9).cell == NEW for n in range(20))
     assert all(placement.admit(call(n), 10.1) == PlacementConstraint() for n in range(20))
 
 
-ROUNDED = [
+ROUNDED_TIMES = [
     now for now in (100.0 + n / 997 for n in range(60000)) if now + WINDOW_S - now > WINDOW_S
 ][:10]
 
 
-@pytest.mark.parametrize("now", ROUNDED)
-def test_no_retry_waits_longer_than_a_window_however_the_clock_rounds(now: float) -> None:
+@pytest.mark.parametrize("now", ROUNDED_TIMES)
+def test_retry_after_never_exceeds_the_window_despite_clock_rounding(now: float) -> None:
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(1, 3), True, 50.0)
     placement.endpoints_changed([backend(0, OLD, state=Readiness.DRAINING)], False, now)
@@ -142,7 +142,7 @@
     assert max(waits) <= WINDOW_S
 
 
-def test_with_one_cell_nothing_is_constrained() -> None:
+def test_a_fleet_with_one_cell_has_no_placement_constraints() -> None:
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(3, 0), True, 0.0)
     assert all(placement.admit(call(n), 1.0) == PlacementConstraint() for n in range(50))
@@ -158,10 +158,10 @@
     assert table.cell_of(("c", "o", "249"), 3.9) == OLD
     assert not table.cell_of(("c", "o", "0"), 0.1)
     table.record_attempt(("c", "o", "x"), OLD, WINDOW_S + 0.1, "r")
-    assert len(table.entries) == 1  # expired entries go by themselves
+    assert len(table.entries) == 1  # recording an attempt removes expired entries
 
 
-def test_an_endless_endpoint_list_is_cut_off() -> None:
+def test_an_oversized_endpoint_list_is_truncated() -> None:
     affinity = KeyAffinity(SETTLE_S)
     affinity.endpoints_changed([backend(n, OLD) for n in range(MAX_BACKENDS + 50)], True, 0.0)
     assert len(affinity.histories) == MAX_BACKENDS
@@ -171,8 +171,8 @@
 class PlacementMachine(RuleBasedStateMachine):
     """Drawn endpoint lists, attempts and outcomes at one gateway.
 
-    What may have run in one cell is never sent to another within the window; proof that nothing ran
-    frees it; nothing is constrained for ever.
+    A submission that may have run in a cell is never sent to another cell within the window, unless
+    there is proof that it did not run. No constraint lasts longer than the window.
     """
 
     def __init__(self) -> None:
@@ -182,7 +182,7 @@
         self.attempts = 0
         self.fleet = {f"s{n}": OLD for n in range(4)}
         self.placement.endpoints_changed([backend(n, OLD) for n in range(4)], True, self.now)
-        # By key: when it may have run, and in which cell.
+        # The times at which each key may have run, with the cell of each.
         self.may_have_run: dict[int, list[tuple[float, int]]] = {}
         self.in_flight: list[tuple[Attempt, int, int]] = []
 
@@ -203,9 +203,11 @@
     @rule(key=st.integers(0, 5), is_retry=st.booleans(), n=st.integers(0, 3))
     def a_request_arrives(self, key: int, is_retry: bool, n: int) -> None:
         constraint = self.placement.admit(call(key, is_retry), self.now)
-        live = [cell for at, cell in self.may_have_run.get(key, ()) if self.now < at + WINDOW_S]
-        if live:
-            assert constraint.cell in live
+        cells_in_doubt = [
+            cell for at, cell in self.may_have_run.get(key, ()) if self.now < at + WINDOW_S
+        ]
+        if cells_in_doubt:
+            assert constraint.cell in cells_in_doubt
             assert not constraint.retry_after
         assert 0 <= constraint.retry_after <= WINDOW_S
         cell = self.fleet[f"s{n}"]
@@ -247,12 +249,12 @@
 TestPlacementMachine = PlacementMachine.TestCase
 
 
-def test_the_state_machine_would_notice_a_table_that_forgets() -> None:
-    """The rule above can fail: a table without a window sends a submission anywhere at once."""
+def test_an_in_doubt_table_without_a_window_places_a_retry_in_another_cell() -> None:
+    """Shows that the state machine can fail: without a window, a submission may run in any cell."""
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(2, 2), True, 0.0)
     key = next(n for n in range(99) if placement.admit(call(n), LIST_SKEW_S).cell == OLD)
-    # An attempt in the cell that is not its home.
+    # An attempt in a cell other than its home.
     attempt = Attempt("1", 0, "s3#2", LIST_SKEW_S, 2.0, call(key))
     placement.sent(attempt, LIST_SKEW_S)
     assert placement.admit(call(key), 1.0).cell == NEW
@@ -260,8 +262,8 @@
     assert placement.admit(call(key), 1.0).cell == OLD
 
 
-def test_a_gateway_that_has_just_started_places_nothing_until_all_hold_its_list() -> None:
-    """Guards against a first request placed by a newer list than its retry elsewhere."""
+def test_a_newly_started_gateway_rejects_requests_until_all_gateways_have_its_list() -> None:
+    """Guards against a first request placed by a newer list than its retry at another gateway."""
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(2, 2), True, 7.0)
     constraint = placement.admit(call(1), 7.0 + LIST_SKEW_S - 0.1)
@@ -271,29 +273,29 @@
 
 
 @pytest.mark.parametrize("listed", [100, 101, 400, 1601])
-def test_a_gateway_that_started_after_a_removal_has_the_same_points_of_a_large_fleet(
+def test_a_gateway_started_after_a_removal_derives_the_same_homes_in_a_large_fleet(
     listed: int,
 ) -> None:
-    """Guards against homes that differ by how many backends a gateway remembers."""
-    veteran, newcomer = KeyAffinity(SETTLE_S), KeyAffinity(SETTLE_S)
-    everything = fleet(listed // 2, listed - listed // 2 + 5)
-    veteran.endpoints_changed(everything, True, 0.0)
-    veteran.endpoints_changed(everything[:listed], True, 100.0)
-    newcomer.endpoints_changed(everything[:listed], True, 100.0)
+    """Guards against homes that depend on the number of backends in a gateway's history."""
+    long_running, newly_started = KeyAffinity(SETTLE_S), KeyAffinity(SETTLE_S)
+    all_backends = fleet(listed // 2, listed - listed // 2 + 5)
+    long_running.endpoints_changed(all_backends, True, 0.0)
+    long_running.endpoints_changed(all_backends[:listed], True, 100.0)
+    newly_started.endpoints_changed(all_backends[:listed], True, 100.0)
     points = [ring_position(str(n)) for n in range(300)]
     later = 100.0 + LIST_SKEW_S
-    assert [veteran.home_cell(p, later, False) for p in points] == [
-        newcomer.home_cell(p, later, False) for p in points
+    assert [long_running.home_cell(p, later, False) for p in points] == [
+        newly_started.home_cell(p, later, False) for p in points
     ]
-    possible = [veteran.possible_cells(p, Period(later, later)) for p in points]
+    possible = [long_running.possible_cells(p, Period(later, later)) for p in points]
     assert all(
-        newcomer.home_cell(p, later, True) in cells or ANY_CELL in cells
+        newly_started.home_cell(p, later, True) in cells or ANY_CELL in cells
         for p, cells in zip(points, possible, strict=True)
     )
 
 
-def test_a_cell_that_takes_requests_again_may_have_been_passed_over() -> None:
-    """Guards against a retry at its home whose first attempt went elsewhere."""
+def test_a_retry_is_rejected_while_its_home_may_have_been_skipped_within_the_window() -> None:
+    """Guards against a retry at a recovered home cell whose first attempt went to another cell."""
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(1, 3), True, 0.0)
     key = next(n for n in range(99) if placement.admit(call(n), 1.0).cell == OLD)
@@ -305,8 +307,8 @@
     assert placement.admit(call(key, True), 22.0 + 2 * LIST_SKEW_S + WINDOW_S).cell == OLD
 
 
-def test_a_fleet_that_has_started_as_a_whole_takes_first_requests_and_no_retries() -> None:
-    """Guards against rejecting all submissions until the first backend is warm."""
+def test_a_fleet_started_as_a_whole_accepts_first_requests_and_rejects_retries() -> None:
+    """Guards against the rejection of all submissions until the first generation takes effect."""
     first, second = Placement(WINDOW_S, SETTLE_S), Placement(WINDOW_S, SETTLE_S)
     started = [backend(n, OLD if n < 2 else NEW, started=100.0) for n in range(5)]
     for placement in (first, second):
@@ -316,36 +318,36 @@
     assert set(homes) == {OLD, NEW}
     assert homes == [second.admit(call(n), now).cell for n in range(50)]
     assert not any(second.admit(call(n, True), now).cell for n in range(50))
-    # One backend settles before the others: all keys are its own, and retries wait.
+    # One generation takes effect before the others: it owns all keys, and retries are rejected.
     for placement in (first, second):
         placement.endpoints_changed([backend(9, NEW, started=99.5)], False, 100.7)
     assert {first.admit(call(n), 101.0).cell for n in range(50)} - {OLD, NEW} == set()
     assert not any(second.admit(call(n, True), 101.0).cell for n in range(50))
-    # A while later all homes are known, and what was sent before is told from it.
+    # After a window all homes are known, and so is the placement of earlier attempts.
     later = 100.0 + SETTLE_S + 2 * LIST_SKEW_S + WINDOW_S + 0.1
     assert all(second.admit(call(n, True), later).cell for n in range(50))
 
 
-def test_a_timeline_that_forgot_what_held_says_so() -> None:
-    """Guards against a backend that changes often and is taken for one that did not."""
+def test_a_timeline_returns_none_for_times_before_its_history() -> None:
+    """Guards against taking a backend that changed often for one that did not change."""
     timeline = Timeline(0)
     for at in range(1, 8):
         timeline.change(float(at), at)
     assert len(timeline) == MAX_CHANGES
     assert timeline.values_between(4.5, 6.5) == {4, 5, 6}
     assert timeline.values_between(3.5, 6.5) is None
-    timeline.change(5.5, 9)  # before those that were to take effect later
+    timeline.change(5.5, 9)  # replaces the changes scheduled after it
     assert timeline.values_between(4.5, 100.0) == {4, 5, 9}
 
 
 def without_window(table: InDoubtTable) -> InDoubtTable:
-    made = InDoubtTable(0.0, table.max_submissions)
+    copy = InDoubtTable(0.0, table.max_submissions)
     for submission, entry in table.entries.items():
-        made.entries[submission] = replace(entry, expires_at=entry.expires_at - table.window_s)
-    return made
+        copy.entries[submission] = replace(entry, expires_at=entry.expires_at - table.window_s)
+    return copy
 
 
-def test_a_backend_listed_again_under_the_same_id_counts_as_listed() -> None:
+def test_a_backend_listed_again_under_the_same_id_has_its_cell_again() -> None:
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(1, 1), True, 0.0)
     name, entry = backend(0, OLD)
--- a/tests/test_mixed_fleets.py
+++ b/tests/test_mixed_fleets.py
@@ -1,4 +1,4 @@
-"""Backends of several protocol versions behind one instance, over real connections."""
+"""Tests of one instance with backends of several protocol versions, over real connections."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 MIXED = OperatorConfig(ProtocolVersions(by_kind={"m2": "http-v2"}))
 
 
-def test_rejects_classes_whose_deduplication_scopes_differ() -> None:
+def test_classes_with_different_deduplication_scopes_are_rejected() -> None:
     keyed = dict(SETTINGS["categories"][1], **{"key-scope": "cell"}, name="other")
     settings = SETTINGS | {"categories": [*SETTINGS["categories"], keyed]}
     with pytest.raises(OperatorConfigError, match="reach differently far"):
@@ -43,21 +43,21 @@
 
 
 @asynccontextmanager
-async def mixed(
-    *servers: dict[str, Any], stub: ScriptedPolicy | None = None
+async def mixed_fleet(
+    *servers: dict[str, Any], scripted_policy: ScriptedPolicy | None = None
 ) -> AsyncIterator[tuple[Application, Caller]]:
-    served = Application(config(*servers), operator=MIXED)
-    if stub is not None:
-        served.exchange.policy = stub
-    task = asyncio.create_task(served.run(asyncio.Event()))
-    await served.serving.wait()  # it listens by then
+    instance = Application(config(*servers), operator=MIXED)
+    if scripted_policy is not None:
+        instance.exchange.policy = scripted_policy
+    task = asyncio.create_task(instance.run(asyncio.Event()))
+    await instance.serving.wait()  # the listening socket is open now
     try:
-        yield served, await Caller.to(served.clients.listening_socket.getsockname())
+        yield instance, await Caller.to(instance.clients.listening_socket.getsockname())
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        served.clients.close()
-        served.backends.close()
+        instance.clients.close()
+        instance.backends.close()
 
 
 def new(address: tuple[str, int], name: str = "n1") -> dict[str, Any]:
@@ -65,28 +65,28 @@
 
 
 @pytest.mark.parametrize("cls", ["read", "order"])
-def test_an_old_client_is_served_by_old_and_new_backends(cls: str) -> None:
+def test_a_resp2_client_is_served_by_resp2_and_http_backends(cls: str) -> None:
     async def body() -> None:
-        async with backend(value(b"old")) as old, h11_server() as young:
-            for fleet, found in (
-                ([entry(old.address)], b"old"),
-                ([new(young.address)], b"ok"),
-                ([entry(old.address), new(young.address)], None),
+        async with backend(value(b"old")) as resp2_backend, h11_server() as http_backend:
+            for fleet, expected in (
+                ([entry(resp2_backend.address)], b"old"),
+                ([new(http_backend.address)], b"ok"),
+                ([entry(resp2_backend.address), new(http_backend.address)], None),
             ):
-                async with mixed(*fleet) as (_, caller):
+                async with mixed_fleet(*fleet) as (_, caller):
                     answers = {
                         await caller.ask(
                             command(f"{n:016x}", cls).replace(b"k=0123456789abcdef", b"k=%016x" % n)
                         )
                         for n in range(12)
                     }
-                    assert answers == ({found} if found else {b"old", b"ok"})
+                    assert answers == ({expected} if expected else {b"old", b"ok"})
 
     run(body())
 
 
-def scripted(data: bytes) -> Peer:
-    """A new server that answers each request with these bytes."""
+def scripted_http_backend(data: bytes) -> Peer:
+    """Returns an HTTP backend that answers each request with the given bytes."""
 
     async def script(_: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -116,10 +116,10 @@
         (b"-BUSY\r\n", "ERR", 4),
     ],
 )
-def test_each_response_of_a_new_backend_becomes_one_true_response(
+def test_each_response_of_an_http_backend_becomes_one_correct_response(
     data: bytes, error: str, attempts: int
 ) -> None:
-    """With a policy that retries while it may, and rejects wherever nothing can have run."""
+    """The policy retries as long as it may, and rejects requests that cannot have run."""
 
     def plan(event: Event) -> list[Action]:
         if isinstance(event, RequestReceived) or (
@@ -140,28 +140,31 @@
 
     async def body() -> None:
         async with (
-            scripted(data) as peer,
-            mixed(new(peer.address), stub=ScriptedPolicy(plan)) as (served, caller),
+            scripted_http_backend(data) as peer,
+            mixed_fleet(new(peer.address), scripted_policy=ScriptedPolicy(plan)) as (
+                instance,
+                caller,
+            ),
         ):
             answer = await caller.ask(command(cls="order"))
             assert isinstance(answer, hiredis.ReplyError)
             assert str(answer).startswith(error)
             assert len(peer.commands) == attempts
-            assert served.translator is not None
-            assert data.startswith(b"-") or sum(served.translator.reasons.values()) == attempts
-            # The connection of this client, and the next request, are none the worse.
-            assert not served.exchange.open_requests
-            assert not served.exchange.attempts
+            assert instance.translator is not None
+            assert data.startswith(b"-") or sum(instance.translator.reasons.values()) == attempts
+            # The exchange keeps neither the request nor an attempt.
+            assert not instance.exchange.open_requests
+            assert not instance.exchange.attempts
 
     run(body())
 
 
-def test_an_old_key_reaches_a_new_backend_as_the_same_uuid_through_every_instance() -> None:
+def test_a_resp2_key_reaches_an_http_backend_as_the_same_uuid_from_each_instance() -> None:
     async def body() -> None:
         keys = set()
         async with h11_server() as peer:
             for _ in range(2):
-                async with mixed(new(peer.address)) as (_, caller):
+                async with mixed_fleet(new(peer.address)) as (_, caller):
                     assert await caller.ask(command(cls="order", body=b"\r\nX: 1")) == b"ok"
             for values in peer.commands:
                 keys |= {v for v in values if v.startswith(b'"') and len(v) == 38}
@@ -171,57 +174,57 @@
     run(body())
 
 
-def test_a_retry_never_crosses_from_old_to_new_backends() -> None:
-    """The old backend takes the request and dies; the new one, without its keys, is free."""
+def test_a_retry_never_moves_from_resp2_to_http_backends() -> None:
+    """The RESP2 backend reads the request and closes; the HTTP backend doesn't share its keys."""
 
     async def script(_: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1 << 16)
-        old.commands.append([])
+        resp2_backend.commands.append([])
         writer.close()
 
     async def body() -> None:
         async with (
-            old,
-            h11_server() as young,
-            mixed(entry(old.address), new(young.address)) as (_, caller),
+            resp2_backend,
+            h11_server() as http_backend,
+            mixed_fleet(entry(resp2_backend.address), new(http_backend.address)) as (_, caller),
         ):
-            failed = 0
-            served = 0
+            failed_count = 0
+            served_count = 0
             for n in range(12):
-                before = len(old.commands)
+                before = len(resp2_backend.commands)
                 answer = await caller.ask(
                     command(f"{n:016x}", "order").replace(b"k=0123456789abcdef", b"k=%016x" % n)
                 )
-                if len(old.commands) > before:
-                    # What may have run there is repeated there or fails, and is never refused.
+                if len(resp2_backend.commands) > before:
+                    # A request that may have run there is retried there or fails, never rejected.
                     assert isinstance(answer, hiredis.ReplyError)
                     assert str(answer).startswith("ERR")
-                    failed += 1
+                    failed_count += 1
                 elif answer == b"ok":
-                    served += 1
+                    served_count += 1
                 else:
-                    # Its home is the old memory, whose one server is down: nothing ran.
+                    # The only backend of its home cell is down: nothing ran.
                     assert isinstance(answer, hiredis.ReplyError)
                     assert str(answer).startswith("BUSY")
-            assert failed
-            assert served
+            assert failed_count
+            assert served_count
 
-    old = Peer(script)
+    resp2_backend = Peer(script)
     run(body())
 
 
-def test_a_backend_that_changes_its_version_at_one_address_gets_new_connections() -> None:
+def test_a_backend_that_changes_its_protocol_version_is_served_over_new_connections() -> None:
     async def body() -> None:
         async with (
-            backend(value(b"old")) as old,
-            h11_server() as young,
-            mixed(entry(old.address, "s1")) as (served, caller),
+            backend(value(b"old")) as resp2_backend,
+            h11_server() as http_backend,
+            mixed_fleet(entry(resp2_backend.address, "s1")) as (instance, caller),
         ):
             assert await caller.ask(command("00000000000000a1")) == b"old"
-            served.update_endpoints(
+            instance.update_endpoints(
                 EndpointListKind.UPDATE,
                 read_endpoint_list(
-                    {"version": 2, "full": False, "servers": [new(young.address, "s1")]}
+                    {"version": 2, "full": False, "servers": [new(http_backend.address, "s1")]}
                 ),
             )
             assert await caller.ask(command("00000000000000a2")) == b"ok"
@@ -229,37 +232,37 @@
     run(body())
 
 
-def test_a_value_too_large_for_old_clients_fails_at_once() -> None:
+def test_a_value_too_large_for_resp2_clients_fails_without_a_retry() -> None:
     big = json.dumps({"id": "r1", "value": base64.b64encode(b"x" * 65537).decode()}).encode()
 
     async def body() -> None:
         async with (
-            scripted(response(body=big)) as peer,
-            mixed(new(peer.address)) as (served, caller),
+            scripted_http_backend(response(body=big)) as peer,
+            mixed_fleet(new(peer.address)) as (instance, caller),
         ):
             assert str(await caller.ask(command("r1", "order"))) == "ERR failed"
             assert len(peer.commands) == 1
-            assert served.translator is not None
-            assert served.translator.reasons == {"too-large": 1}
+            assert instance.translator is not None
+            assert instance.translator.reasons == {"too-large": 1}
 
     run(body())
 
 
 @pytest.mark.parametrize("where", ["encode_request", "receive_data", "receive_eof"])
-def test_whatever_a_backend_codec_raises_ends_one_attempt_alone(
+def test_an_exception_in_a_backend_codec_ends_only_its_own_attempt(
     where: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real = getattr(HttpBackendProtocol, where)
+    original = getattr(HttpBackendProtocol, where)
 
-    def broken(self: HttpBackendProtocol, *words: Any) -> Any:
+    def fail_for_one_request(self: HttpBackendProtocol, *arguments: Any) -> Any:
         if self.client_request_id == b"bad" or (
-            where == "encode_request" and words[0].client_request_id == b"bad"
+            where == "encode_request" and arguments[0].client_request_id == b"bad"
         ):
-            raise OverflowError("nobody thought of this")
-        return real(self, *words)
+            raise OverflowError("unexpected error in the codec")
+        return original(self, *arguments)
 
     async def script(_: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The end of the connection makes the answer whole."""
+        """Sends a response that ends with the connection."""
         await reader.readuntil(b"\r\n\r\n")
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
@@ -274,15 +277,18 @@
         return []
 
     async def body() -> None:
-        monkeypatch.setattr(HttpBackendProtocol, where, broken)
+        monkeypatch.setattr(HttpBackendProtocol, where, fail_for_one_request)
         async with (
             Peer(script) as peer,
-            mixed(new(peer.address), stub=ScriptedPolicy(plan)) as (served, caller),
+            mixed_fleet(new(peer.address), scripted_policy=ScriptedPolicy(plan)) as (
+                instance,
+                caller,
+            ),
         ):
             assert str(await caller.ask(command("bad"))) == "ERR failed"
             assert await caller.ask(command("good")) == b"ok"
-            assert isinstance(served.backends, UpstreamDispatcher)
-            assert not served.exchange.attempts
-            assert served.counts()["back_faults"] == {"http-v2": 1, "resp2-v1": 0}
+            assert isinstance(instance.backends, UpstreamDispatcher)
+            assert not instance.exchange.attempts
+            assert instance.counts()["back_faults"] == {"http-v2": 1, "resp2-v1": 0}
 
     run(body())
--- a/tests/test_placement_fleet.py
+++ b/tests/test_placement_fleet.py
@@ -1,4 +1,4 @@
-"""Several gateways in virtual time, whose lists differ in age: where each places one submission."""
+"""Tests of placement by several gateways in virtual time, whose endpoint lists differ in age."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from ingress.policy.events import Backend, Readiness
 
 WINDOW_S, SETTLE_S = 4.0, 1.3
-LIST_SKEW_S = SETTLE_S / 2  # within which all gateways hear of a change
+LIST_SKEW_S = SETTLE_S / 2  # within which all gateways receive a change
 GATEWAYS = 3
 DURATION_S = 60.0
-RATE = 40.0  # first requests a second
-BACKEND_CHANGE_S = 3.0  # between changes of backends, in the mean
-RESTART_S = 8.0  # between restarts of gateways, in the mean
-EPOCH = 1000.0
+FIRST_REQUESTS_PER_S = 40.0
+BACKEND_CHANGE_S = 3.0  # mean time between changes of backends
+RESTART_S = 8.0  # mean time between restarts of gateways
+START_TIME = 1000.0
 
 
 def call(key: int, is_retry: bool = False) -> Call:
@@ -37,121 +37,126 @@
 
 @dataclass
 class Gateway:
-    """One gateway: what it was told of, and its placement."""
+    """One gateway with its placement and the backends in the list that it has received."""
 
     placement: Placement
-    told: dict[str, Backend]
-    heard_until: float = 0.0
+    known_backends: dict[str, Backend]
+    last_receipt_at: float = 0.0
 
     def has_ready(self, cell: int) -> bool:
-        return any(b.cell == cell and b.readiness is Readiness.READY for b in self.told.values())
+        return any(
+            b.cell == cell and b.readiness is Readiness.READY for b in self.known_backends.values()
+        )
 
 
 @dataclass
 class Fleet:
-    """Backends, gateways and clients. Changes are heard in order, `LIST_SKEW_S` apart at most."""
+    """Backends, gateways and clients.
+
+    Each gateway receives the changes in order, at most `LIST_SKEW_S` after they occur.
+    """
 
     rng: random.Random
     backends: dict[str, Backend]
     gateways: list[Gateway] = field(default_factory=list)
-    now: float = EPOCH
+    now: float = START_TIME
     queue: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
-    order: count[int] = field(default_factory=count)
-    placed: dict[int, set[int]] = field(default_factory=dict)
+    sequence: count[int] = field(default_factory=count)
+    cells_by_key: dict[int, set[int]] = field(default_factory=dict)
     retries: int = 0
     retries_placed: int = 0
-    firsts: int = 0
-    firsts_placed: int = 0
+    first_requests: int = 0
+    first_requests_placed: int = 0
     restarts: int = 0
     changes: int = 0
 
-    def at(self, time: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (time, next(self.order), act))
+    def schedule(self, time: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.queue, (time, next(self.sequence), action))
 
-    def play(self) -> None:
+    def run(self) -> None:
         self.gateways = [self.started_gateway(self.backends) for _ in range(GATEWAYS)]
-        for mean, act in (
-            (1 / RATE, self.first_request),
+        for mean_s, action in (
+            (1 / FIRST_REQUESTS_PER_S, self.first_request),
             (BACKEND_CHANGE_S, self.change_backend),
             (RESTART_S, self.restart_gateway),
         ):
-            self.repeat(mean, act)
+            self.repeat(mean_s, action)
         while self.queue:
-            self.now, _, act = heapq.heappop(self.queue)
-            act()
+            self.now, _, action = heapq.heappop(self.queue)
+            action()
 
-    def repeat(self, mean_s: float, act: Callable[[], None]) -> None:
-        time = EPOCH
-        while (time := time + self.rng.expovariate(1 / mean_s)) < EPOCH + DURATION_S:
-            self.at(time, act)
+    def repeat(self, mean_s: float, action: Callable[[], None]) -> None:
+        time = START_TIME
+        while (time := time + self.rng.expovariate(1 / mean_s)) < START_TIME + DURATION_S:
+            self.schedule(time, action)
 
-    def started_gateway(self, told: dict[str, Backend]) -> Gateway:
+    def started_gateway(self, known_backends: dict[str, Backend]) -> Gateway:
         placement = Placement(WINDOW_S, SETTLE_S)
-        placement.endpoints_changed(list(told.items()), True, self.now)
-        return Gateway(placement, dict(told))
+        placement.endpoints_changed(list(known_backends.items()), True, self.now)
+        return Gateway(placement, dict(known_backends))
 
     def restart_gateway(self) -> None:
-        """A new process starts with what its agent has heard, and knows nothing of before."""
+        """Replaces a gateway by a new process with the same endpoint list and no history."""
         number = self.rng.randrange(GATEWAYS)
-        former = self.gateways[number]
-        self.gateways[number] = self.started_gateway(former.told)
-        self.gateways[number].heard_until = former.heard_until
+        previous = self.gateways[number]
+        self.gateways[number] = self.started_gateway(previous.known_backends)
+        self.gateways[number].last_receipt_at = previous.last_receipt_at
         self.restarts += 1
 
-    def tell(self, name: str, backend: Backend) -> None:
-        """Lets each gateway hear of a change after a time of its own."""
+    def announce(self, name: str, backend: Backend) -> None:
+        """Sends a change to each gateway, with a random delay for each."""
         if backend.readiness is Readiness.REMOVED:
             del self.backends[name]
         else:
             self.backends[name] = backend
         for number, gateway in enumerate(self.gateways):
             delay = self.rng.uniform(0.0, LIST_SKEW_S)
-            gateway.heard_until = max(gateway.heard_until, self.now + delay)
-            self.at(gateway.heard_until, partial(self.hear, number, name, backend))
+            gateway.last_receipt_at = max(gateway.last_receipt_at, self.now + delay)
+            self.schedule(gateway.last_receipt_at, partial(self.receive, number, name, backend))
 
-    def hear(self, number: int, name: str, backend: Backend) -> None:
+    def receive(self, number: int, name: str, backend: Backend) -> None:
         gateway = self.gateways[number]
         entries = [(name, backend)]
-        former = gateway.told.get(name)
-        if former is not None and former.id != backend.id:
-            entries.insert(0, (name, replace(former, readiness=Readiness.REMOVED)))
+        previous = gateway.known_backends.get(name)
+        if previous is not None and previous.id != backend.id:
+            entries.insert(0, (name, replace(previous, readiness=Readiness.REMOVED)))
         gateway.placement.endpoints_changed(entries, False, self.now)
         if backend.readiness is Readiness.REMOVED:
-            gateway.told.pop(name, None)
+            gateway.known_backends.pop(name, None)
         else:
-            gateway.told[name] = backend
+            gateway.known_backends[name] = backend
 
     def change_backend(self) -> None:
-        """A backend drains or crashes, and comes back of either generation."""
+        """Drains or crashes a backend, which is started again in a random cell."""
         ready = [n for n, b in self.backends.items() if b.readiness is Readiness.READY]
         if not ready:
             return
         self.changes += 1
         name = self.rng.choice(ready)
         crashes = self.rng.random() < 0.5
-        gone_at = self.now if crashes else self.now + self.rng.uniform(1.0, 2.0)
+        removed_at = self.now if crashes else self.now + self.rng.uniform(1.0, 2.0)
         if not crashes:
-            self.tell(name, replace(self.backends[name], readiness=Readiness.DRAINING))
+            self.announce(name, replace(self.backends[name], readiness=Readiness.DRAINING))
         removed = replace(self.backends[name], readiness=Readiness.REMOVED)
-        back_at = gone_at + self.rng.choice([0.0, 0.1, 0.5, 5.0])
-        _, back = listed(name, self.rng.choice([1, 2]), back_at)
-        if back_at > gone_at:  # else the next process is listed in place of the former
-            self.at(gone_at, lambda: self.tell(name, removed))
-        self.at(back_at, lambda: self.tell(name, back))
+        restarted_at = removed_at + self.rng.choice([0.0, 0.1, 0.5, 5.0])
+        _, replacement = listed(name, self.rng.choice([1, 2]), restarted_at)
+        if restarted_at > removed_at:  # else the new process replaces the previous one in the list
+            self.schedule(removed_at, lambda: self.announce(name, removed))
+        self.schedule(restarted_at, lambda: self.announce(name, replacement))
 
     def first_request(self) -> None:
-        self.firsts += 1
-        key = self.firsts
-        self.firsts_placed += self.admit(call(key))
+        self.first_requests += 1
+        key = self.first_requests
+        self.first_requests_placed += self.admit(call(key))
         wait = self.rng.uniform(0.05, WINDOW_S / 2)
-        self.at(self.now + wait, lambda: self.retry(key))
+        self.schedule(self.now + wait, lambda: self.retry(key))
 
     def retry(self, key: int) -> None:
         self.retries += 1
         self.retries_placed += self.admit(call(key, is_retry=True))
 
     def admit(self, request: Call) -> bool:
-        """Places a request at some gateway; whether it went to a backend."""
+        """Places a request at a random gateway; returns whether it was sent to a backend."""
         gateway = self.rng.choice(self.gateways)
         constraint = gateway.placement.admit(request, self.now)
         if constraint.retry_after > 0:
@@ -160,10 +165,10 @@
         cell = next((cell for cell in cells if gateway.has_ready(cell)), 0)
         if not cell:
             return False
-        name = next(b.id for b in gateway.told.values() if b.cell == cell)
-        attempt = Attempt(str(next(self.order)), 0, name, self.now, self.now + 2.0, request)
+        name = next(b.id for b in gateway.known_backends.values() if b.cell == cell)
+        attempt = Attempt(str(next(self.sequence)), 0, name, self.now, self.now + 2.0, request)
         gateway.placement.sent(attempt, self.now)
-        self.placed.setdefault(int(request.idempotency_key[4:]), set()).add(cell)
+        self.cells_by_key.setdefault(int(request.idempotency_key[4:]), set()).add(cell)
         return True
 
 
@@ -172,20 +177,20 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "started_at"), [(5, 4, 0.0), (8, 1, 0.0), (9, 0, 0.0), (5, 4, EPOCH)]
+    ("old", "new", "started_at"), [(5, 4, 0.0), (8, 1, 0.0), (9, 0, 0.0), (5, 4, START_TIME)]
 )
 @pytest.mark.parametrize("seed", range(12))
-def test_no_two_gateways_place_a_submission_and_its_marked_retry_in_two_cells(
+def test_gateways_never_place_a_submission_and_its_marked_retry_in_different_cells(
     old: int, new: int, started_at: float, seed: int
 ) -> None:
     """Guards against a submission recorded twice while backends change and gateways restart."""
     rng = random.Random(f"placement {seed} {old} {new}")
     fleet = Fleet(rng, backends(old, new, started_at))
-    fleet.play()
+    fleet.run()
     assert fleet.restarts >= 2
     assert fleet.changes >= 5
-    twice = [key for key, cells in fleet.placed.items() if len(cells) > 1]
-    assert not twice, f"{len(twice)} of {fleet.retries_placed} retries placed"
-    # Rejecting all would keep the rule as well.
-    assert fleet.firsts_placed > 0.8 * fleet.firsts
+    in_two_cells = [key for key, cells in fleet.cells_by_key.items() if len(cells) > 1]
+    assert not in_two_cells, f"{len(in_two_cells)} of {fleet.retries_placed} retries placed"
+    # Rejecting all requests would also keep submissions in one cell.
+    assert fleet.first_requests_placed > 0.8 * fleet.first_requests
     assert fleet.retries_placed > 0.3 * fleet.retries
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel against timers that are simply sorted."""
+"""Tests of the timer wheel against an event loop with sorted timers."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class Loop:
-    """An event loop whose clock moves only when it is told to.
+    """An event loop in virtual time, which advances only in `run_until`.
 
-    It calls each timer `lateness` seconds after its time.
+    It calls each timer `lateness` seconds after its due time.
     """
 
     def __init__(self, lateness: float = 0.0) -> None:
         self.now = 50.0
         self.lateness = lateness
         self.timer_count = 0
-        self.wakes = 0
+        self.wakeups = 0
         self.timers: list[tuple[float, int, list[Any]]] = []
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> LoopTimer:
@@ -38,8 +38,8 @@
             due_at, _, call = heappop(self.timers)
             self.now = max(self.now, due_at)
             if call:
-                self.wakes += 1
-                assert self.wakes < 5000, "it wakes again and again at one moment"
+                self.wakeups += 1
+                assert self.wakeups < 5000, "the wheel wakes up again and again at the same time"
                 call[0](*call[1])
         self.now = end
 
@@ -53,7 +53,7 @@
 
 
 class Recorder:
-    """Sets timers on a wheel, and records when each is due and when it fires."""
+    """Sets timers on a wheel and records when each is due and when it fires."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
@@ -64,7 +64,7 @@
         self.cancelled: set[int] = set()
 
     def set(self, delay: float, next_delay: float | None = None) -> None:
-        """Sets a timer, which sets another when it fires if `next_delay` is given."""
+        """Sets a timer; if `next_delay` is given, the timer sets another one when it fires."""
         number = len(self.handles)
         self.due_at.append(self.loop.now + delay)
         self.handles.append(self.wheel.call_later(delay, self._fire, number, next_delay))
@@ -87,7 +87,7 @@
     st.lists(
         st.one_of(
             st.tuples(st.just("set"), st.floats(0.0, 0.05)),
-            # Sets the second one when it fires, as an attempt's end sets the next attempt's timer.
+            # The first timer sets the second, as an attempt's end sets the next attempt's timer.
             st.tuples(st.just("chain"), st.tuples(st.floats(0.0, 0.05), st.floats(0.0, 0.05))),
             st.tuples(st.just("cancel"), st.integers(0, 9)),
             st.tuples(st.just("wait"), st.floats(0.0, 0.03)),
@@ -96,9 +96,7 @@
     ),
     st.sampled_from([0.0, 0.004]),
 )
-def test_each_timer_fires_once_not_early_and_soon(
-    steps: list[tuple[str, Any]], lateness: float
-) -> None:
+def test_each_timer_fires_once_and_on_time(steps: list[tuple[str, Any]], lateness: float) -> None:
     loop = Loop(lateness)
     recorder = Recorder(loop)
     for kind, value in steps:
@@ -120,51 +118,51 @@
     assert not recorder.wheel.slot_heap
 
 
-def test_cancelled_timers_hold_nothing_and_wake_nobody() -> None:
+def test_cancelled_timers_hold_no_references_and_cause_no_wakeups() -> None:
     class Request:
-        def over(self) -> None: ...
+        def finish(self) -> None: ...
 
     loop = Loop()
     wheel = TimerWheel(loop, lambda: loop.now)
     request = Request()
-    gone = weakref.ref(request)
-    handles = [wheel.call_later(4.0 + n / 1000, request.over) for n in range(1000)]
+    request_ref = weakref.ref(request)
+    handles = [wheel.call_later(4.0 + n / 1000, request.finish) for n in range(1000)]
     del request
     for handle in handles:
         handle.cancel()
     gc.collect()
-    assert gone() is None
+    assert request_ref() is None
     assert not wheel.slots
     loop.run_until(loop.now + 10.0)
-    assert loop.wakes == 1  # the loop's one timer, set for the first of them
+    assert loop.wakeups == 1  # the loop's only timer, set for the first of them
 
 
-def test_a_callback_that_fails_does_not_stop_the_others_of_its_slot() -> None:
+def test_a_failing_callback_does_not_stop_the_other_timers_of_its_slot() -> None:
     loop = Loop()
-    seen: list[int] = []
+    fired: list[int] = []
     wheel = TimerWheel(loop, lambda: loop.now)
 
-    def broken() -> None:
-        raise RuntimeError("broken")
+    def fail() -> None:
+        raise RuntimeError("failing callback")
 
-    late = wheel.call_later(0.01, seen.append, 3)
-    wheel.call_later(0.01, broken)
-    wheel.call_later(0.01, late.cancel)
-    wheel.call_later(0.01, seen.append, 2)
-    wheel.call_later(0.0, lambda: wheel.call_later(0.0, seen.append, 1))
+    earliest = wheel.call_later(0.01, fired.append, 3)
+    wheel.call_later(0.01, fail)
+    wheel.call_later(0.01, earliest.cancel)
+    wheel.call_later(0.01, fired.append, 2)
+    wheel.call_later(0.0, lambda: wheel.call_later(0.0, fired.append, 1))
     loop.run_until(loop.now + 1.0)
-    assert seen == [1, 3, 2]
+    assert fired == [1, 3, 2]
 
 
-def test_rounding_never_makes_it_wake_in_vain() -> None:
-    """Slots whose time, computed back and forth, comes out a little before itself."""
+def test_clock_rounding_causes_no_empty_wakeups() -> None:
+    """Guards against a wake-up just before a slot is due, from rounding its time to a number."""
     for start in range(200):
         loop = Loop()
         loop.now = start / 7
         wheel = TimerWheel(loop, lambda loop=loop: loop.now)  # type: ignore[misc]
-        seen: list[int] = []
+        fired: list[int] = []
         for n in range(20):
-            wheel.call_later(n / 3000, seen.append, n)
+            wheel.call_later(n / 3000, fired.append, n)
         loop.run_until(loop.now + 1.0)
-        assert sorted(seen) == list(range(20))
-        assert loop.wakes <= 20
+        assert sorted(fired) == list(range(20))
+        assert loop.wakeups <= 20
