--- a/ingress/core/ports.py
+++ b/ingress/core/ports.py
@@ -188,7 +188,7 @@
     """The counter shared by all gateways."""
 
     def call(self, key: int, amount: float, lifetime: float) -> None:
-        """Adds an amount to a key; its one `CounterReply` always follows after this returns.
+        """Adds an amount to a key; its one `CounterReply` arrives after this returns.
 
         Args:
             key: The counter key.
