--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -42,7 +42,7 @@
 )
 from tests.support.applications import ScriptedPolicy, start_attempt
 from tests.test_http_wire import h11_server
-from tests.test_mixed_fleets import new
+from tests.test_mixed_fleets import http_entry
 
 OPERATOR = OperatorConfig(
     ProtocolVersions(by_kind={"m2": "http-v2"}), (AdditionalListener(("127.0.0.1", 0), "http-v2"),)
@@ -152,7 +152,10 @@
 def test_a_kept_client_is_served_by_old_and_new_servers(cls: str) -> None:
     async def body() -> None:
         async with backend(value(b"\x00old")) as old, h11_server() as young:
-            for fleet, found in (([entry(old.address)], b"\x00old"), ([new(young.address)], b"ok")):
+            for fleet, found in (
+                ([entry(old.address)], b"\x00old"),
+                ([http_entry(young.address)], b"ok"),
+            ):
                 async with serving(*fleet) as (_, _, address), aiohttp.ClientSession() as session:
                     for n in range(6):
                         assert (
@@ -197,7 +200,7 @@
     async def body() -> None:
         data = whole(body_of())
         async with h11_server() as young, backend(value(b"v")) as old:
-            async with serving(new(young.address)) as (_, _, address):
+            async with serving(http_entry(young.address)) as (_, _, address):
                 assert (await (await Http.to(address)).ask(data))[0] == 200
             assert f'"{UUID}"'.encode() in young.commands[0]
             for _ in range(2):  # two ingresses
--- a/tests/test_mixed_fleets.py
+++ b/tests/test_mixed_fleets.py
@@ -60,7 +60,7 @@
         instance.backends.close()
 
 
-def new(address: tuple[str, int], name: str = "n1") -> dict[str, Any]:
+def http_entry(address: tuple[str, int], name: str = "n1") -> dict[str, Any]:
     return entry(address, name) | {"kind": "m2"}
 
 
@@ -70,8 +70,8 @@
         async with backend(value(b"old")) as resp2_backend, h11_server() as http_backend:
             for fleet, expected in (
                 ([entry(resp2_backend.address)], b"old"),
-                ([new(http_backend.address)], b"ok"),
-                ([entry(resp2_backend.address), new(http_backend.address)], None),
+                ([http_entry(http_backend.address)], b"ok"),
+                ([entry(resp2_backend.address), http_entry(http_backend.address)], None),
             ):
                 async with mixed_fleet(*fleet) as (_, caller):
                     answers = {
@@ -141,7 +141,7 @@
     async def body() -> None:
         async with (
             scripted_http_backend(data) as peer,
-            mixed_fleet(new(peer.address), scripted_policy=ScriptedPolicy(plan)) as (
+            mixed_fleet(http_entry(peer.address), scripted_policy=ScriptedPolicy(plan)) as (
                 instance,
                 caller,
             ),
@@ -164,7 +164,7 @@
         keys = set()
         async with h11_server() as peer:
             for _ in range(2):
-                async with mixed_fleet(new(peer.address)) as (_, caller):
+                async with mixed_fleet(http_entry(peer.address)) as (_, caller):
                     assert await caller.ask(command(cls="order", body=b"\r\nX: 1")) == b"ok"
             for values in peer.commands:
                 keys |= {v for v in values if v.startswith(b'"') and len(v) == 38}
@@ -186,7 +186,10 @@
         async with (
             resp2_backend,
             h11_server() as http_backend,
-            mixed_fleet(entry(resp2_backend.address), new(http_backend.address)) as (_, caller),
+            mixed_fleet(entry(resp2_backend.address), http_entry(http_backend.address)) as (
+                _,
+                caller,
+            ),
         ):
             failed_count = 0
             served_count = 0
@@ -224,7 +227,11 @@
             instance.update_endpoints(
                 EndpointListKind.UPDATE,
                 read_endpoint_list(
-                    {"version": 2, "full": False, "servers": [new(http_backend.address, "s1")]}
+                    {
+                        "version": 2,
+                        "full": False,
+                        "servers": [http_entry(http_backend.address, "s1")],
+                    }
                 ),
             )
             assert await caller.ask(command("00000000000000a2")) == b"ok"
@@ -238,7 +245,7 @@
     async def body() -> None:
         async with (
             scripted_http_backend(response(body=big)) as peer,
-            mixed_fleet(new(peer.address)) as (instance, caller),
+            mixed_fleet(http_entry(peer.address)) as (instance, caller),
         ):
             assert str(await caller.ask(command("r1", "order"))) == "ERR failed"
             assert len(peer.commands) == 1
@@ -280,7 +287,7 @@
         monkeypatch.setattr(HttpBackendProtocol, where, fail_for_one_request)
         async with (
             Peer(script) as peer,
-            mixed_fleet(new(peer.address), scripted_policy=ScriptedPolicy(plan)) as (
+            mixed_fleet(http_entry(peer.address), scripted_policy=ScriptedPolicy(plan)) as (
                 instance,
                 caller,
             ),
