--- a/ingress/core/exchange.py
+++ b/ingress/core/exchange.py
@@ -203,7 +203,7 @@
             self.upstream.withdraw(request.attempt_in_flight)
 
     def _remove_request(self, key: str) -> None:
-        """Removes a request of whose end the policy has been notified."""
+        """Removes a request whose end has been reported to the policy."""
         request = self.open_requests.pop(key, None)
         if request is not None:
             self.buffered_bytes -= request.size_bytes
--- a/ingress/core/open_request.py
+++ b/ingress/core/open_request.py
@@ -25,7 +25,7 @@
 
 
 class OpenRequest:
-    """A request that has no response yet, or of whose end the policy is not notified yet.
+    """A request without a response, or whose end has not been reported to the policy yet.
 
     Attributes:
         key: The exchange's id for the request.
@@ -66,7 +66,7 @@
         self.timer: TimerHandle | None = None
 
     def received_event(self, time_left: float, cell: int) -> RequestReceived:
-        """Returns the request's event for the policy; it may run in `cell` only, 0 for any cell."""
+        """Returns the policy's event for the request, which may run only in `cell`; 0 for any."""
         call = self.call
         return RequestReceived(
             self.key,
--- a/ingress/idempotency/placement.py
+++ b/ingress/idempotency/placement.py
@@ -144,7 +144,7 @@
         return self._time_until_lists_agree(now) + self.key_affinity.list_skew_s + self.window_s
 
     def _retry_delay(self, home: int, available: int, now: float) -> float:
-        """Returns the seconds after which to send a retry again whose home changed recently."""
+        """Returns the seconds to wait before retrying a request whose home has changed recently."""
         if home == available:
             return self.window_s / 2
         unavailable_at = self.key_affinity.availability[home].latest_change_at()
--- a/tests/test_mixed_fleets.py
+++ b/tests/test_mixed_fleets.py
@@ -175,7 +175,7 @@
 
 
 def test_a_retry_never_moves_from_resp2_to_http_backends() -> None:
-    """The RESP2 backend reads the request and closes; the HTTP backend doesn't share its keys."""
+    """The RESP2 backend reads the request and disconnects; the HTTP backend has no such key."""
 
     async def script(_: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1 << 16)
