--- a/ingress/handover/__init__.py
+++ b/ingress/handover/__init__.py
@@ -1,6 +1,7 @@
-"""Handover: another instance takes over, once, the requests in flight of one that is lost.
+"""Handover: when an instance is lost, another one takes over its requests in flight, once.
 
-Replicas hold a record of each request with an idempotency key; a coordinator asks them before its
-instance forwards one. Nothing here does I/O or reads a clock: `components.handover_upstream` drives
-it in the program, `simulation.model_checker` under the model checker.
+Replicas keep a record of each request that has an idempotency key. Before an instance forwards such
+a request, its coordinator asks the replicas for a grant. Nothing in this package does I/O or reads
+a clock: `components.handover_upstream` drives it in the program, `simulation.model_checker` in the
+model checker.
 """
--- a/ingress/handover/__main__.py
+++ b/ingress/handover/__main__.py
@@ -1,10 +1,10 @@
-"""Shows the handover records in a store, beside the running program or after it; changes nothing.
+"""Shows the handover records in a store, which may be in use; changes nothing.
 
     python -m ingress.handover show --owner ingress-1 store/
     python -m ingress.handover check --owner ingress-1 store/ --json
 
-Status: 0, the store is complete; 1, part of it can't be read, the rest is shown; 2, it can't be
-used.
+Exit status: 0, the store is complete; 1, part of it is unreadable and the rest is shown; 2, the
+store can't be used.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def describe_records(contents: StoreContents) -> list[dict[str, Any]]:
-    """Returns the records as they are shown; times are Unix times."""
+    """Returns the displayed fields of each record; times are Unix times in seconds."""
     described = []
     for name, data in contents.entries.items():
         record = decode(data) if name != INCARNATION_KEY else None
@@ -44,7 +44,7 @@
 
 
 def describe_store(contents: StoreContents, records: list[dict[str, Any]]) -> dict[str, Any]:
-    """Returns the summary of a store as it is shown."""
+    """Returns the displayed summary of a store."""
     has_incarnation = INCARNATION_KEY in contents.entries
     unreadable = len(contents.entries) - len(records) - has_incarnation
     return {
@@ -66,7 +66,7 @@
     )
     parser.add_argument("what", choices=["show", "check"])
     parser.add_argument("folder", type=Path)
-    parser.add_argument("--owner", required=True, help="the name of the ingress whose store it is")
+    parser.add_argument("--owner", required=True, help="name of the ingress that owns the store")
     parser.add_argument("--json", action="store_true")
     return parser.parse_args()
 
@@ -79,7 +79,7 @@
         f"life {summary['life']}"
     ]
     lines += [f"  {fault}" for fault in summary["faults"]]
-    lines.append(f"  {phases or 'nothing in hand'}")
+    lines.append(f"  {phases or 'no records'}")
     lines += [
         "  {name}  {phase:8} {holder} {life}/{op}  since {since:.3f}  at {at:.3f}".format(**record)
         for record in summary.get("records", ())
--- a/ingress/handover/coordinator.py
+++ b/ingress/handover/coordinator.py
@@ -1,9 +1,9 @@
-"""What one instance asks of the replicas before it sends, and what it knows of the others.
+"""The coordinator: asks the replicas before a request is sent, and tracks the other instances.
 
-The coordinator takes the time, messages and connection changes, and leaves messages in `outbox` and
-decisions in `decisions`. Its driver takes both with `drain`, and what the replica has
-`changed_names`; where there is a store, no reply leaves before the changes it rests on are durable.
-A message to the own instance goes the same way.
+Its driver passes in the time, messages and connection changes. The coordinator appends messages to
+`outbox`, also those to its own instance, and decisions to `decisions`. The driver takes both with
+`drain`, and takes the names of changed records from the replica's `changed_names`. With a store,
+the driver sends a reply only after the changes that it depends on are durable.
 """
 
 from __future__ import annotations
@@ -35,32 +35,33 @@
 from ingress.handover.replica import Grant, Replica, replicas_for
 from ingress.handover.transition_table import HolderStatus, RequestKind
 
-SYNC_RETRY_INTERVAL_S: Final = 0.5  # the connection back may not be up yet
-MAX_OPERATIONS: Final = 20_000  # open at one time; one beyond goes on unprotected
+SYNC_RETRY_INTERVAL_S: Final = 0.5  # the peer's connection to this instance may not be up yet
+MAX_OPERATIONS: Final = 20_000  # open at the same time; any further one is sent unprotected
 NEVER: Final = -1e18  # as a time
 
 
 @dataclass(slots=True)
 class Peer:
-    """What is known of another instance."""
+    """The state of another instance, as known from its messages."""
 
     connected: bool = False
-    heard_at: float = NEVER
+    last_message_at: float = NEVER
     incarnation: int = 0
     store_id: bytes = b""
     durable_position: int = 0
-    previous_store_id: bytes = b""  # as its earlier process left them
+    previous_store_id: bytes = b""  # store and position of its previous process
     previous_position: int = 0
-    vouches: bool | None = None  # whether it knows our store no further on than it was recovered
-    synced: bool = False  # it has sent all its records since our start
+    # Whether it confirms that the recovered store holds all that it knows to be durable there.
+    confirms_store: bool | None = None
+    synced: bool = False  # it has sent all its records since this process started
     sync_requested_at: float = NEVER
 
 
 class Coordinator:
-    """One instance among `instances`.
+    """The coordinator of one of `instances`.
 
     `incarnation`: greater than that of any earlier process of this name; `store_id`,
-    `durable_position`: of the store that the replica was recovered from.
+    `durable_position`: describe the store that the replica was recovered from.
     """
 
     def __init__(
@@ -96,12 +97,13 @@
     def _replicas_for(self, name: bytes) -> list[str]:
         return replicas_for(name, self.instances, self.settings.copies)
 
-    # The own instance's operations
+    # Operations of this instance
 
     def open(self, now: float, name: bytes, digest: bytes, call: bytes = b"") -> int:
-        """Asks whether an operation may be sent; returns its number.
+        """Asks the replicas whether an operation may be sent; returns its number.
 
-        The decision comes at `max_delay` after `now` at the latest, in a `tick`.
+        The decision is made at the first `tick` that is more than `max_delay` after `now`, or
+        earlier.
         """
         self.last_operation += 1
         number = self.last_operation
@@ -115,14 +117,14 @@
         return number
 
     def sent(self, number: int) -> None:
-        """Tells the replicas that the operation was written."""
+        """Notifies the replicas that the operation was written."""
         operation = self.operations.get(number)
         if operation is not None and operation.granted:
             request = ReplicaRequest(RequestKind.SENT, operation.name, self.incarnation, number)
             self._ask_replicas(operation, request)
 
     def ended(self, number: int, kind: RequestKind, response: bytes = b"") -> None:
-        """Ends an operation with DONE and its response, UNCLEAR, or RELEASE if nothing ran."""
+        """Ends an operation: DONE with its response, UNCLEAR, or RELEASE if nothing ran."""
         operation = self.operations.pop(number, None)
         if operation is not None and operation.granted:
             request = ReplicaRequest(
@@ -140,7 +142,7 @@
         operation.granted = verdict in (Verdict.PROCEED, Verdict.UNPROTECTED)
         self.counts[REPORTED_VERDICTS[verdict]] += 1
         self.counts["repeats"] += operation.granted and decision.send_before < inf
-        # Jitter: several that were put off at one moment must not come back at one moment.
+        # Jitter: operations that are deferred together must not be retried together.
         jitter = 0.5 + crc32(f"{self.name} {number}".encode()) / 2**32
         self.decisions.append(
             Decision(
@@ -152,7 +154,7 @@
             )
         )
         if not operation.granted:
-            # What some replicas granted is given back.
+            # Some replicas may have granted it: release their grants.
             request = ReplicaRequest(RequestKind.RELEASE, operation.name, self.incarnation, number)
             self._ask_replicas(operation, request)
             del self.operations[number]
@@ -168,10 +170,10 @@
     # Messages
 
     def receive(self, now: float, source: str, message: Message) -> None:
-        """Takes a valid message; one from outside of the known instances is ignored."""
+        """Handles a valid message; ignores one from an unknown instance."""
         peer = self.peers.get(source)
         if peer is not None:
-            peer.heard_at = now
+            peer.last_message_at = now
         elif source != self.name:
             return
         match message:
@@ -213,7 +215,7 @@
             self._evaluate(now, reply.operation)
 
     def _on_ownership_query(self, source: str, query: OwnershipQuery) -> None:
-        # One that has ended writes nothing more; how it ended, the other replicas know.
+        # An operation that has ended writes nothing more; the other replicas know its outcome.
         if query.incarnation == self.incarnation and query.operation not in self.operations:
             request = ReplicaRequest(
                 RequestKind.UNCLEAR, query.name, query.incarnation, query.operation
@@ -237,8 +239,8 @@
 
     def _on_heartbeat(self, now: float, peer: Peer, heartbeat: Heartbeat) -> None:
         if heartbeat.incarnation > peer.incarnation:
-            # Its recovered store is held against what its earlier process told, not what this one
-            # tells.
+            # Its recovered store is compared with the position that its previous process reported,
+            # not with the positions that the new process reports.
             peer.incarnation = heartbeat.incarnation
             peer.previous_store_id = peer.store_id
             peer.previous_position = peer.durable_position
@@ -247,18 +249,18 @@
             peer.durable_position = heartbeat.durable_position
         peer.durable_position = max(peer.durable_position, heartbeat.durable_position)
         if heartbeat.known_incarnation > self.incarnation:
-            self._outlive(heartbeat.known_incarnation)
+            self._advance_incarnation(heartbeat.known_incarnation)
         if (
             self.recovered_position
-            and peer.vouches is None
+            and peer.confirms_store is None
             and heartbeat.known_store_id == self.store_id
             and self.store_id
         ):
-            peer.vouches = heartbeat.known_position <= self.recovered_position
+            peer.confirms_store = heartbeat.known_position <= self.recovered_position
             self._update_recovery(now)
 
-    def _outlive(self, incarnation: int) -> None:
-        """Takes a later incarnation: an earlier process of this name had a clock that ran ahead."""
+    def _advance_incarnation(self, incarnation: int) -> None:
+        """Takes an incarnation after that of an earlier process, whose clock ran ahead."""
         self.incarnation = incarnation + 1
         undecided = [
             number for number, operation in self.operations.items() if not operation.decided
@@ -267,22 +269,22 @@
             self._conclude(number, Decision(0, Verdict.UNPROTECTED))
 
     def _update_recovery(self, now: float) -> None:
-        """Ends the recovery once no record can be missing unnoticed.
+        """Ends the recovery once no record can be missing undetected.
 
-        A disk may return an old state, or an empty one, as if it were the last: only the others can
-        tell what it had acknowledged.
+        A disk may return an old or an empty state as if it were the latest. Only the other
+        instances know how much this instance had acknowledged.
         """
         peers = self.peers.values()
         if self.replica.is_complete(now) or not peers:
             return
-        if any(peer.vouches is False for peer in peers):
+        if any(peer.confirms_store is False for peer in peers):
             self.counts["forgot"] += self.recovered_position > 0
             self.recovered_position = 0
-        vouching = sum(peer.vouches is True for peer in peers)
-        if self.recovered_position and 2 * vouching >= len(peers):
+        confirming = sum(peer.confirms_store is True for peer in peers)
+        if self.recovered_position and 2 * confirming >= len(peers):
             self.replica.recovering_until = now
         elif all(peer.synced for peer in peers):
-            # Replies to requests of an earlier process are out of the way by then.
+            # By then no reply to a request of an earlier process is pending any more.
             earliest = self.started_at + 2 * self.settings.max_delay
             self.replica.recovering_until = max(now, earliest)
             self.counts["learnt"] += 1
@@ -290,13 +292,13 @@
     # Other instances
 
     def on_connection_change(self, now: float, other: str, connected: bool) -> None:
-        """Takes that the connection to another instance came up or ended."""
+        """Records that the connection to another instance was established or lost."""
         peer = self.peers.get(other)
         if peer is None:
             return
         peer.connected = connected
         if connected:
-            peer.heard_at = now
+            peer.last_message_at = now
             self._send_heartbeat(now, other, peer)
 
     def _send_heartbeat(self, now: float, other: str, peer: Peer) -> None:
@@ -318,14 +320,14 @@
         self.outbox.append((other, heartbeat))
 
     def is_suspect(self, now: float, other: str) -> bool:
-        """Returns whether an instance is dead, partitioned or paused, which can't be told apart."""
+        """Returns whether an instance may be dead, partitioned or paused, which look the same."""
         peer = self.peers.get(other)
         if peer is None or not peer.connected:
             return True
-        return now - peer.heard_at > self.settings.suspect_after
+        return now - peer.last_message_at > self.settings.suspect_after
 
     def holder_status(self, now: float, holder: Grant) -> HolderStatus:
-        """Returns what is known of the process that holds a record."""
+        """Returns the status of the process that holds a record."""
         if holder.instance == self.name:
             same = holder.incarnation == self.incarnation
             return HolderStatus.ALIVE if same else HolderStatus.RESTARTED
@@ -336,7 +338,10 @@
         return HolderStatus.SUSPECT if suspect else HolderStatus.ALIVE
 
     def tick(self, now: float) -> None:
-        """Decides what waited for `max_delay`, in which it is to be called several times."""
+        """Decides operations that have waited longer than `max_delay`, and sends due heartbeats.
+
+        To be called several times within `max_delay`.
+        """
         for number, operation in list(self.operations.items()):
             if not operation.decided and now - operation.opened_at > self.settings.max_delay:
                 self._evaluate(now, number)
@@ -347,7 +352,7 @@
                     self._send_heartbeat(now, other, peer)
 
     def drain(self) -> tuple[list[tuple[str, Message]], list[Decision]]:
-        """Returns the messages to send, by receiver, and the decisions since the last call."""
+        """Returns the messages to send, each with its receiver, and the new decisions."""
         outbox = self.outbox
         decisions = self.decisions
         self.outbox = []
--- a/ingress/handover/decision.py
+++ b/ingress/handover/decision.py
@@ -1,4 +1,4 @@
-"""Whether an operation may be sent, decided on the replies of its replicas."""
+"""Decides from the replies of its replicas whether an operation may be sent."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinatorSettings:
-    """Times are seconds.
+    """The coordinator's settings; all times are in seconds.
 
     Attributes:
-        deduplication_window: how long backends remember idempotency keys.
-        safety_margin: by which a resent request keeps clear of the end of that window.
-        max_delay: how long an attempt waits for replies at most.
-        heartbeat_interval: between two heartbeats.
-        suspect_after: without a message, for which an instance becomes suspect.
-        recovery_time: for which a replica that may have lost records tells nothing of what it does
-            not know.
-        retry_after: told to a client whose submission another instance holds, before jitter.
-        copies: how many replicas have to grant; there are 2 * copies - 1 of them.
-        resend: whether what may have run is sent once more, to be deduplicated by its backend.
+        deduplication_window: time for which backends remember idempotency keys.
+        safety_margin: minimum time between a resend and the end of that window.
+        max_delay: maximum time that an attempt waits for replies.
+        heartbeat_interval: time between two heartbeats.
+        suspect_after: time without a message after which an instance becomes suspect.
+        recovery_time: maximum time during which a replica that may have lost records does not
+            grant anything.
+        retry_after: retry delay, before jitter, sent to a client whose submission another instance
+            holds.
+        copies: number of replicas that have to grant; there are 2 * copies - 1 replicas.
+        resend: whether a submission that may have run is sent again, for its backend to
+            deduplicate.
     """
 
     deduplication_window: float = 4.0
@@ -40,14 +42,14 @@
 
 
 class Verdict(Enum):
-    """What is to be done with an operation that was opened."""
+    """The decision on an opened operation."""
 
     PROCEED = auto()  # send it; enough replicas granted it
-    UNPROTECTED = auto()  # send it as if there were no replicas: too few replied in time
-    DONE = auto()  # it ran before, and the response is known
+    UNPROTECTED = auto()  # send it without replicas: too few replied in time
+    DONE = auto()  # it has run, and its response is known
     RETRY_LATER = auto()  # another instance holds it
     KEY_REUSED = auto()  # its idempotency key was used with another body
-    IN_DOUBT = auto()  # it may have run, and no backend is sure to remember: never send it again
+    IN_DOUBT = auto()  # it may have run, and backends may have forgotten its key: never resend
 
 
 REPORTED_VERDICTS: Final = {
@@ -65,8 +67,8 @@
 class Decision:
     """The verdict on an operation.
 
-    `retry_after`: seconds, with RETRY_LATER; `send_before`: when the window of a resent request
-    ends.
+    `retry_after`: seconds, with RETRY_LATER; `send_before`: the time by which a resent request must
+    be sent.
     """
 
     operation: int
@@ -78,7 +80,7 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One attempt of a submission, which this process opened."""
+    """One attempt of a submission, opened by this process."""
 
     name: bytes
     digest: bytes
@@ -86,11 +88,11 @@
     replicas: list[str]
     replies: dict[str, ReplicaReply] = field(default_factory=dict)
     decided: bool = False
-    granted: bool = False  # the verdict allows to send it, and it has not ended
+    granted: bool = False  # the verdict allows sending it, and it has not ended
 
 
 def decide(settings: CoordinatorSettings, operation: Operation, now: float) -> Decision | None:
-    """Returns the decision on the replies so far, or None to wait for more."""
+    """Returns the decision based on the replies so far, or None to wait for more replies."""
     replies = list(operation.replies.values())
     refusal = _refusal(settings, operation.opened_at, replies, now)
     if refusal is not None:
@@ -100,21 +102,21 @@
     enough = len(grants) >= settings.copies
     if not enough and not late and len(replies) < len(operation.replicas):
         return None
-    earlier = [reply for reply in grants if reply.previous_phase != Phase.FREE]
-    # Ages count from when the replicas replied, so the whole time since the request is added.
-    age = max((reply.age for reply in earlier), default=0.0) + now - operation.opened_at
+    resend_grants = [reply for reply in grants if reply.previous_phase != Phase.FREE]
+    # An age is as of the replica's reply, so the whole time since the request is added.
+    age = max((reply.age for reply in resend_grants), default=0.0) + now - operation.opened_at
     time_left = settings.deduplication_window - settings.safety_margin - age
-    if earlier and (time_left <= 0.0 or not settings.resend):
+    if resend_grants and (time_left <= 0.0 or not settings.resend):
         return Decision(0, Verdict.IN_DOUBT)
-    # Grants that are counted late may have gone to another instance meanwhile.
+    # After `max_delay` a grant may have been passed to another instance.
     verdict = Verdict.PROCEED if enough and not late else Verdict.UNPROTECTED
-    return Decision(0, verdict, send_before=now + time_left if earlier else inf)
+    return Decision(0, verdict, send_before=now + time_left if resend_grants else inf)
 
 
 def _refusal(
     settings: CoordinatorSettings, opened_at: float, replies: list[ReplicaReply], now: float
 ) -> Decision | None:
-    """Returns the decision of replies that forbid to send, whatever the others say."""
+    """Returns the decision if a reply forbids sending, regardless of the other replies."""
     codes = [ReplyCode(reply.code) for reply in replies]
     if ReplyCode.DONE in codes:
         return Decision(0, Verdict.DONE, replies[codes.index(ReplyCode.DONE)].response)
--- a/ingress/handover/messages.py
+++ b/ingress/handover/messages.py
@@ -1,7 +1,7 @@
-"""The messages among instances about handover records, and the check of their ranges.
+"""Messages between instances about handover records, and their validation.
 
-On the wire a message is a MessagePack array that starts with the tag of its class; the order and
-the types of the fields are the format. Fields that a later version adds at the end are ignored.
+On the wire a message is a MessagePack array that starts with the tag of its class. The order and
+types of the fields define the format. Extra fields at the end, from a later version, are ignored.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 from ingress.handover.transition_table import Phase, RequestKind
 
 FORMAT_VERSION: Final = 1
-NAME_BYTES: Final = 16  # of a record's name
+NAME_BYTES: Final = 16  # length of a record name
 BODY_DIGEST_BYTES: Final = 8
-MAX_DIGEST_BYTES: Final = 16  # accepted of a body's digest or a store's id
+MAX_DIGEST_BYTES: Final = 16  # of a body digest or a store id, on receipt
 MAX_INSTANCE_NAME_LENGTH: Final = 64
-MAX_BODY_BYTES: Final = 64 * 1024  # of a request's body or a response
-MAX_CALL_OVERHEAD_BYTES: Final = 4096  # of an encoded call, beside its body
+MAX_BODY_BYTES: Final = 64 * 1024  # of a request body or a response
+MAX_CALL_OVERHEAD_BYTES: Final = 4096  # of an encoded call without its body
 MAX_FRAME_MESSAGES: Final = 512
 MAX_AGE_S: Final = 3600.0
-COUNTER_LIMIT: Final = 1 << 62  # of incarnations, operation numbers and store positions
+COUNTER_LIMIT: Final = 1 << 62  # exclusive, for incarnations, operations and store positions
 
 
 class ReplyCode(IntEnum):
-    """What a replica replies to OPEN. The numbers are on the wire, the names reported."""
+    """The result of an OPEN. The numbers are sent on the wire, the names are reported in counts."""
 
     GRANTED = 1
     BUSY = 2  # another instance holds it
-    DONE = 3  # it ran; the reply carries the response
-    CLASH = 4  # the same idempotency key with another body
+    DONE = 3  # it has run; the reply carries the response
+    CLASH = 4  # the idempotency key was used with another body
     STALE = 5  # the requester no longer holds it
-    NEW = 6  # the replica may have lost records, and can't tell
+    NEW = 6  # the replica is recovering and may have lost the record
     FULL = 7  # no memory for another record
-    FROZEN = 8  # its holder is suspect and may yet write
+    FROZEN = 8  # its holder is suspect and may still write
 
 
 class ReplicaRequest(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A request of a coordinator to a replica.
+    """A request from a coordinator to a replica.
 
-    `operation` numbers what one process opens; with the process's `incarnation` it identifies the
-    grant. `digest`: of the body; `call`: in OPEN, what a successor needs to send it; `response`: in
-    DONE.
+    `operation`: sequence number of the operation in its process; together with the process's
+    `incarnation` it identifies the grant. `digest`: of the body; `call`: the encoded call that
+    another instance needs to resend it, in OPEN; `response`: in DONE.
     """
 
     kind: int
@@ -60,8 +60,8 @@
 class ReplicaReply(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """The reply to an OPEN, identified by its `incarnation` and `operation`.
 
-    `previous_phase`: before the grant; `age`: seconds since the first OPEN whose holder may have
-    sent it; `durable_position`: of the replica's store.
+    `previous_phase`: the record's phase before the grant; `age`: seconds since the first OPEN whose
+    holder may have sent the submission; `durable_position`: of the replica's store.
     """
 
     code: int
@@ -75,12 +75,12 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Sent to each connected instance several times a second.
+    """The message that is sent to each connected instance several times a second.
 
-    `store_id`, `durable_position`: the sender's store, and up to which position its records are
-    durable; `complete`: its replica has not lost records. Of the receiver the sender knows
-    `known_incarnation`, the greatest heard, and the store and position of its process before,
-    `known_store_id` and `known_position`.
+    `store_id`, `durable_position`: the sender's store and the position up to which its records are
+    durable; `complete`: the sender's replica has all its records. The `known_` fields hold the
+    sender's knowledge of the receiver: the greatest incarnation received from it, and the store
+    and position of its previous process.
     """
 
     format_version: int
@@ -94,15 +94,15 @@
 
 
 class SyncRequest(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """An instance that may have lost records asks for all that it is a replica of."""
+    """A request, from an instance that may have lost records, for all records it replicates."""
 
     sync_id: int
 
 
 class SyncRecord(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """One record in reply to a `SyncRequest`; `last` is set in a final one, which is empty.
+    """One record in reply to a `SyncRequest`; a final empty one has `last` set.
 
-    `age`: seconds since the first OPEN whose holder may have sent it.
+    `age`: seconds since the first OPEN whose holder may have sent the submission.
     """
 
     sync_id: int
@@ -119,7 +119,7 @@
 
 
 class OwnershipQuery(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """A replica asks whether a holder's operation is still open: its last request may be lost."""
+    """A replica's question whether an operation is still open: its last request may be lost."""
 
     name: bytes
     incarnation: int
@@ -130,22 +130,22 @@
 
 
 class MalformedMessageError(Exception):
-    """Received bytes are no message of this protocol; the text says why, and names no secret."""
+    """Received bytes are not a valid message; the text gives the reason and contains no secret."""
 
 
 def record_name(customer: str, request_class: str, key: str) -> bytes:
-    """Returns the name of a record, by customer, request class and idempotency key."""
+    """Returns the name of the record for a customer, request class and idempotency key."""
     joined = "\0".join((customer, request_class, key))
     return blake2b(joined.encode("utf-8", "replace"), digest_size=NAME_BYTES).digest()
 
 
 def body_digest(body: bytes | None) -> bytes:
-    """Returns the digest by which a reused idempotency key with another body is recognized."""
+    """Returns the digest that detects the reuse of an idempotency key with another body."""
     return blake2b(body or b"", digest_size=BODY_DIGEST_BYTES).digest()
 
 
 def validate(message: Message) -> None:
-    """Checks the ranges of a message's fields, also of one that was sealed with the right key.
+    """Checks the ranges of a message's fields, even if it was sealed with a valid key.
 
     Raises:
         MalformedMessageError: a field is out of range.
@@ -162,7 +162,7 @@
         case _:
             valid = True
     if not valid:
-        raise MalformedMessageError(f"{type(message).__name__} is out of range")
+        raise MalformedMessageError(f"{type(message).__name__} has a field out of range")
 
 
 _KINDS: Final = frozenset(int(kind) for kind in RequestKind)
--- a/ingress/handover/record_codec.py
+++ b/ingress/handover/record_codec.py
@@ -1,4 +1,4 @@
-"""Handover records as entries of a store."""
+"""Encodes and decodes handover records as entries of a store."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ingress.handover.replica import RECORD_TTL_S, Grant, Record, Replica
 from ingress.handover.transition_table import Phase
 
-INCARNATION_KEY: Final = b"life"  # of the entry that holds the incarnation of the last process
+INCARNATION_KEY: Final = b"life"  # key of the entry with the latest process's incarnation
 
 
 class StoredRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A record as it is stored: a MessagePack array in this order; times are Unix times."""
+    """The stored form of a record: a MessagePack array in this order, with Unix times."""
 
     phase: int
     holder: Grant
@@ -31,7 +31,7 @@
 
 
 def encode(record: Record) -> bytes:
-    """Returns the value of a record's entry."""
+    """Returns the stored value of a record."""
     return msgspec.msgpack.encode(
         StoredRecord(
             record.phase,
@@ -48,7 +48,7 @@
 
 
 def decode(data: bytes) -> Record | None:
-    """Returns the record of an entry's value, or None for what no replica writes."""
+    """Returns the record of a stored value, or None if the value is invalid."""
     try:
         stored = _decoder.decode(data)
         return Record(
@@ -69,11 +69,10 @@
 def recover(
     replica: Replica, entries: dict[bytes, bytes], now: float, deduplication_window: float
 ) -> int:
-    """Puts a store's records into a replica; returns the incarnation of the process before.
+    """Puts a store's records into a replica; returns the incarnation of the previous process.
 
-    The clock may have been set back between that process and this one. So each record counts as
-    opened a whole deduplication window ago at least, and is kept for as long as if it had changed
-    just now.
+    The clock may have been set back since the previous process ended. So each record counts as
+    opened at least one whole deduplication window ago, and is kept as long as one changed just now.
     """
     for name, data in entries.items():
         record = decode(data) if len(name) == NAME_BYTES else None
--- a/ingress/handover/replica.py
+++ b/ingress/handover/replica.py
@@ -1,4 +1,4 @@
-"""A replica's records of submissions, and what it replies to requests about them."""
+"""A replica: stores the records of submissions and replies to requests about them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     Transition,
 )
 
-RECORD_TTL_S: Final = 30.0  # far beyond any deduplication window and any client's timeout
-RECORD_OVERHEAD_BYTES: Final = 200  # of memory, beside call and response
+RECORD_TTL_S: Final = 30.0  # far longer than any deduplication window and client timeout
+RECORD_OVERHEAD_BYTES: Final = 200  # estimated memory without the call and the response
 DEFAULT_MAX_BYTES: Final = 64 << 20
 REPLY_CODES: Final = {
     Transition.GRANT: ReplyCode.GRANTED,
@@ -32,7 +32,7 @@
 
 
 class Grant(NamedTuple):
-    """Identifies an operation: who opened it, in which incarnation, and its number there."""
+    """The identity of an operation: the opening instance, its incarnation and its number there."""
 
     instance: str
     incarnation: int
@@ -46,8 +46,7 @@
 def replicas_for(name: bytes, instances: tuple[str, ...], copies: int) -> list[str]:
     """Returns the 2 `copies` - 1 instances that replicate a record, by rendezvous hashing.
 
-    The result is the same at all instances that know the same `instances`; any two majorities of it
-    overlap.
+    All instances with the same `instances` get the same result; any two majorities of it overlap.
     """
     ranked = sorted(
         instances,
@@ -58,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """What is known of a submission. Times are those of the clock that the caller reads.
+    """The state of a submission. Times are in seconds, by the caller's clock.
 
     `opened_at`: when the first holder that may have sent it opened it; `previous_phase` and
-    `previous_holder`: what a RELEASE restores.
+    `previous_holder`: the state that a RELEASE restores.
     """
 
     phase: Phase
@@ -82,34 +81,33 @@
 class Replica:
     """The records of one replica.
 
-    Beyond `max_bytes` the oldest responses are evicted; where there are none, no new record is
-    taken. Before `recovering_until` the replica may have lost records, and tells nothing of an
-    submission that it does not know.
+    Beyond `max_bytes` the replica evicts the oldest responses, or rejects new records if there are
+    none. Before `recovering_until` it may have lost records, and grants nothing.
     """
 
     def __init__(self, max_bytes: int = DEFAULT_MAX_BYTES, recovering_until: float = 0.0) -> None:
         self.max_bytes = max_bytes
         self.used_bytes = 0
         self.recovering_until = recovering_until
-        self.records: OrderedDict[bytes, Record] = OrderedDict()  # by their last change
-        self.changed_names: list[bytes] = []  # not yet taken by a store
+        self.records: OrderedDict[bytes, Record] = OrderedDict()  # by last change, oldest first
+        self.changed_names: list[bytes] = []  # since the driver last took them
         self.counts = {code.name.lower(): 0 for code in ReplyCode} | {"dropped": 0}
 
     def copy(self) -> Replica:
-        """Returns a replica with the same records, of which no change is pending."""
+        """Returns a replica with the same records and no pending changes."""
         other = Replica(self.max_bytes, self.recovering_until)
         other.records = self.records.copy()
         other.used_bytes = self.used_bytes
         return other
 
     def is_complete(self, now: float) -> bool:
-        """Returns whether no record of this replica can be lost unnoticed."""
+        """Returns whether no record of this replica can be missing undetected."""
         return now >= self.recovering_until
 
     def handle(
         self, now: float, requester: str, request: ReplicaRequest, holder_status: HolderLookup
     ) -> ReplicaReply | None:
-        """Applies a request; returns the reply to OPEN, and None to all else."""
+        """Applies a request; returns the reply to an OPEN, and None for the other kinds."""
         self._expire(now)
         grant = Grant(requester, request.incarnation, request.operation)
         kind = RequestKind(request.kind)
@@ -130,9 +128,9 @@
         record: Record | None,
         holder_status: HolderLookup,
     ) -> ReplicaReply:
-        # Of a record that was merged again after a loss, only a response is sure: its age is not.
-        sure = record is not None and record.phase is Phase.DONE
-        if not sure and not self.is_complete(now):
+        # A record that was merged after a loss has a certain response, but an uncertain age.
+        has_response = record is not None and record.phase is Phase.DONE
+        if not has_response and not self.is_complete(now):
             return self._reply(ReplyCode.NEW, request)
         if record is None:
             return self._create(now, grant, request)
@@ -142,7 +140,7 @@
         if transition is Transition.GRANT:
             self._grant(now, grant, request, record)
         repeated = record.holder == grant
-        return self._reply_of_record(REPLY_CODES[transition], request, record, now, repeated)
+        return self._reply_with_record(REPLY_CODES[transition], request, record, now, repeated)
 
     def _create(self, now: float, grant: Grant, request: ReplicaRequest) -> ReplicaReply:
         if self.used_bytes > self.max_bytes and not self._evict():
@@ -152,17 +150,17 @@
         return self._reply(ReplyCode.GRANTED, request)
 
     def _grant(self, now: float, grant: Grant, request: ReplicaRequest, record: Record) -> None:
-        free = record.phase is Phase.FREE
+        was_free = record.phase is Phase.FREE
         self.put(
             request.name,
             Record(
                 phase=Phase.HELD,
                 holder=grant,
                 digest=request.digest,
-                opened_at=now if free else record.opened_at,
+                opened_at=now if was_free else record.opened_at,
                 changed_at=now,
-                previous_phase=Phase.FREE if free else record.phase,
-                previous_holder=NO_HOLDER if free else record.holder,
+                previous_phase=Phase.FREE if was_free else record.phase,
+                previous_holder=NO_HOLDER if was_free else record.holder,
                 call=request.call or record.call,
             ),
         )
@@ -193,31 +191,31 @@
         )
 
     def _roll_back(self, now: float, name: bytes, record: Record) -> None:
-        # Nothing of this holder's ran, but what an earlier one may have sent must not be forgotten.
-        free = record.previous_phase is Phase.FREE
+        # Nothing ran for this holder, but the record keeps what an earlier holder may have sent.
+        was_free = record.previous_phase is Phase.FREE
         self.put(
             name,
             Record(
                 phase=record.previous_phase,
-                holder=record.holder if free else record.previous_holder,
+                holder=record.holder if was_free else record.previous_holder,
                 digest=record.digest,
                 opened_at=record.opened_at,
                 changed_at=now,
-                call=b"" if free else record.call,
+                call=b"" if was_free else record.call,
             ),
         )
 
     def _reply(self, code: ReplyCode, request: ReplicaRequest) -> ReplicaReply:
-        """Returns a reply that tells nothing of a record."""
+        """Returns a reply without a record."""
         self.counts[code.name.lower()] += 1
         return ReplicaReply(code, request.name, request.incarnation, request.operation)
 
-    def _reply_of_record(
+    def _reply_with_record(
         self, code: ReplyCode, request: ReplicaRequest, record: Record, now: float, repeated: bool
     ) -> ReplicaReply:
-        """Returns a reply with the record as it was before the request.
+        """Returns a reply with the state of the record before the request.
 
-        `repeated`: the requester holds it already, and is told how it was before its grant.
+        `repeated`: the requester already holds the record; it gets the state before its grant.
         """
         self.counts[code.name.lower()] += 1
         phase = record.previous_phase if repeated else record.phase
@@ -233,7 +231,7 @@
         )
 
     def put(self, name: bytes, record: Record) -> None:
-        """Sets a record."""
+        """Sets a record and marks it as the latest change."""
         old = self.records.pop(name, None)
         old_size = old.size() if old is not None else 0
         self.used_bytes += record.size() - old_size
@@ -252,9 +250,9 @@
         self.changed_names.append(name)
 
     def _evict(self) -> bool:
-        """Removes the oldest record with an outcome; returns False if there is none.
+        """Removes the oldest record with an outcome, or a FREE one; returns False if none exists.
 
-        What may have run and has no outcome must not be forgotten for want of memory.
+        A record that may have run and has no outcome is never removed to save memory.
         """
         for name, record in self.records.items():
             if record.phase in (Phase.DONE, Phase.FREE):
@@ -266,7 +264,7 @@
     def sync_records(
         self, now: float, sync_id: int, is_wanted: Callable[[bytes], bool]
     ) -> Iterator[SyncRecord]:
-        """Yields all records whose name is wanted, then a final empty one."""
+        """Yields the unexpired records whose name is wanted, then a final empty one."""
         for name, record in self.records.items():
             if not is_wanted(name) or now - record.changed_at > RECORD_TTL_S:
                 continue
@@ -286,7 +284,7 @@
         yield SyncRecord(sync_id, last=True)
 
     def merge(self, now: float, received: SyncRecord) -> None:
-        """Takes a record of another replica, unless the own one is as far; the older age holds."""
+        """Takes another replica's record if its phase is later, and the earlier `opened_at`."""
         own = self.records.get(received.name)
         opened_at = now - received.age
         if own is not None:
@@ -309,7 +307,7 @@
             self.put(received.name, replace(own, opened_at=opened_at))
 
     def in_flight(self) -> Iterator[tuple[bytes, Record]]:
-        """Yields names and records without an outcome, the longest unchanged first."""
+        """Yields names and records without an outcome, by last change, oldest first."""
         for name, record in self.records.items():
             if record.phase not in (Phase.FREE, Phase.DONE):
                 yield name, record
@@ -319,7 +317,7 @@
     holder = record.holder
     same_process = holder.instance == grant.instance and holder.incarnation == grant.incarnation
     if same_process and holder.operation > grant.operation:
-        return Transition.REJECT_STALE  # delayed, from before the operation that holds it
+        return Transition.REJECT_STALE  # delayed: older than the operation that holds the record
     is_holder = same_process and holder.operation == grant.operation
     status = HolderStatus.REQUESTER if is_holder else holder_status(holder)
     return TRANSITIONS[record.phase, RequestKind.OPEN, status]
--- a/ingress/handover/takeover.py
+++ b/ingress/handover/takeover.py
@@ -1,4 +1,4 @@
-"""Which submissions of lost instances this one takes over on its own, and how fast."""
+"""Selects the submissions of lost instances that this instance takes over, at a limited rate."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ingress.handover.transition_table import HolderStatus, Phase
 
 SCAN_INTERVAL_S: Final = 0.1
-MAX_SCANNED_RECORDS: Final = 20_000  # in one scan
+MAX_SCANNED_RECORDS: Final = 20_000  # per scan
 
 
 class TakeoverScheduler:
-    """Picks orphaned submissions, at most `rate` a second; none if that is 0."""
+    """Selects orphaned submissions, at most `rate` per second; none if `rate` is 0."""
 
     def __init__(self, coordinator: Coordinator, rate: float) -> None:
         self.coordinator = coordinator
@@ -22,10 +22,10 @@
         self.next_scan = 0.0
         self.tokens = 0.0
         self.refilled_at = 0.0
-        self.attempted: dict[bytes, float] = {}  # when, by record name
+        self.attempted: dict[bytes, float] = {}  # time of the attempt, by record name
 
     def due(self, now: float) -> list[bytes]:
-        """Returns the calls to send now, as their holders encoded them, the oldest first."""
+        """Returns the calls to send now, as encoded by their holders, the oldest first."""
         if now < self.next_scan or self.rate <= 0.0:
             return []
         self.next_scan = now + SCAN_INTERVAL_S
@@ -46,7 +46,7 @@
         self.refilled_at = now
 
     def _forget_attempts(self, now: float) -> None:
-        # Each is attempted once in the window: those put off must not keep the others waiting.
+        # Each is attempted once per window, so that rejected ones do not block the others.
         window = self.coordinator.settings.deduplication_window
         self.attempted = {name: at for name, at in self.attempted.items() if now - at < window}
 
@@ -68,14 +68,14 @@
         return age + 2 * settings.safety_margin < settings.deduplication_window
 
     def _is_lost(self, now: float, record: Record) -> bool:
-        """Returns whether its holder is lost and no byte of it can come any more."""
+        """Returns whether the holder is lost and can't write any more bytes of the submission."""
         status = self.coordinator.holder_status(now, record.holder)
         if status is HolderStatus.RESTARTED:
             return True
         return status is HolderStatus.SUSPECT and record.phase is not Phase.HELD
 
     def _is_first_live_replica(self, now: float, name: bytes) -> bool:
-        """Returns whether no replica ranked before this one is alive: one takes over, not all."""
+        """Returns whether all higher-ranked replicas are suspect, so that only one takes over."""
         coordinator = self.coordinator
         for replica in replicas_for(name, coordinator.instances, coordinator.settings.copies):
             if replica == coordinator.name:
--- a/ingress/handover/transition_table.py
+++ b/ingress/handover/transition_table.py
@@ -1,10 +1,10 @@
-"""What a replica does with a request about a record, as a table over phase, request and holder.
+"""A replica's transitions for a request about a record, by phase, request kind and holder status.
 
-A replica holds one record for each submission (customer, request class, idempotency key): who holds
-it, and what is known of its bytes. An attempt that was opened may be written at any later time,
-because a process may pause between its check and its write. So a HELD record is granted to nobody
-else while its holder may be alive; a SENT or an UNCLEAR one, whose holder writes nothing more, may
-be.
+A replica keeps one record for each submission (customer, request class, idempotency key): its
+holder, and whether the holder has written it. An opened attempt may be written at any later time,
+because a process may pause between its check and its write. So a HELD record is not granted to
+another operation while its holder may be alive. The holder of a SENT or UNCLEAR record writes
+nothing more, so such a record may be granted.
 """
 
 from __future__ import annotations
@@ -14,70 +14,70 @@
 
 
 class Phase(IntEnum):
-    """How far a submission has come; the numbers are stored and sent, the names reported."""
+    """The progress of a submission; the numbers are stored and sent, the names are reported."""
 
-    FREE = 0  # nothing ran; the record only rejects delayed requests of its last holder
-    HELD = 1  # its holder may write at any time
-    SENT = 2  # its holder wrote all that it will; for more it has to ask anew
-    UNCLEAR = 3  # its holder is done with it, and whether it ran is in doubt
-    DONE = 4  # it ran, and its response is known
+    FREE = 0  # nothing ran; the record only serves to reject delayed requests of its last holder
+    HELD = 1  # its holder may write it at any time
+    SENT = 2  # its holder has written it; to write it again, the holder needs another grant
+    UNCLEAR = 3  # its holder has ended it, and whether it ran is in doubt
+    DONE = 4  # it has run, and its response is known
 
 
 class RequestKind(IntEnum):
-    """What an instance asks of replicas, or tells them. The numbers are on the wire."""
+    """The kind of a request to replicas. The numbers are sent on the wire."""
 
-    OPEN = 1  # asks for the grant to send it
-    SENT = 2  # it was written
+    OPEN = 1  # asks for a grant to send the submission
+    SENT = 2  # the submission was written
     UNCLEAR = 3  # whether it ran is in doubt; nothing more will be written
-    DONE = 4  # it ran; the request carries the response
-    RELEASE = 5  # nothing of what the grant allowed ran
+    DONE = 4  # it has run; the request carries the response
+    RELEASE = 5  # gives the grant back: nothing ran under it
 
 
 class HolderStatus(IntEnum):
-    """Who holds a record, as seen by the replica that received a request about it."""
+    """The status of a record's holder, as seen by the replica that received a request."""
 
-    REQUESTER = 0  # the very operation that the request is about
+    REQUESTER = 0  # the operation that the request is about
     ALIVE = 1
-    SUSPECT = 2  # not heard of: dead, partitioned or paused
-    RESTARTED = 3  # a later process of its name was heard: this one writes nothing more
+    SUSPECT = 2  # no recent message: dead, partitioned or paused
+    RESTARTED = 3  # replaced by a later process of its name: it writes nothing more
 
 
 class Transition(IntEnum):
-    """What the replica does and replies."""
+    """The action of the replica, and its reply."""
 
     GRANT = 1  # the requester holds the record from now on
     REPORT_BUSY = 2  # another instance holds it
-    REPORT_RESPONSE = 3  # replies with the response that is known
-    ADVANCE = 4  # takes the phase of the request
-    ROLL_BACK = 5  # restores what was before the requester opened it
+    REPORT_RESPONSE = 3  # replies with the stored response
+    ADVANCE = 4  # the record enters the phase of the request
+    ROLL_BACK = 5  # restores the phase and holder from before the grant
     KEEP = 6  # a repeated request: nothing changes
     REJECT_STALE = 7  # the requester no longer holds it
-    REPORT_FROZEN = 8  # its holder is suspect and may yet write
+    REPORT_FROZEN = 8  # its holder is suspect and may still write
 
 
-_OTHERS: Final = (HolderStatus.ALIVE, HolderStatus.SUSPECT, HolderStatus.RESTARTED)
+_NOT_REQUESTER: Final = (HolderStatus.ALIVE, HolderStatus.SUSPECT, HolderStatus.RESTARTED)
 TRANSITIONS: Final[dict[tuple[Phase, RequestKind, HolderStatus], Transition]] = {
-    # Only its holder changes a record that exists.
+    # Except by OPEN, only its holder changes an existing record.
     **{
         (phase, kind, status): Transition.REJECT_STALE
         for phase in Phase
         for kind in RequestKind
         if kind is not RequestKind.OPEN
-        for status in _OTHERS
+        for status in _NOT_REQUESTER
     },
-    **{(Phase.FREE, RequestKind.OPEN, status): Transition.GRANT for status in _OTHERS},
+    **{(Phase.FREE, RequestKind.OPEN, status): Transition.GRANT for status in _NOT_REQUESTER},
     (Phase.HELD, RequestKind.OPEN, HolderStatus.ALIVE): Transition.REPORT_BUSY,
     (Phase.HELD, RequestKind.OPEN, HolderStatus.RESTARTED): Transition.GRANT,
     (Phase.HELD, RequestKind.OPEN, HolderStatus.SUSPECT): Transition.REPORT_FROZEN,
     (Phase.SENT, RequestKind.OPEN, HolderStatus.ALIVE): Transition.REPORT_BUSY,
     (Phase.SENT, RequestKind.OPEN, HolderStatus.SUSPECT): Transition.GRANT,
     (Phase.SENT, RequestKind.OPEN, HolderStatus.RESTARTED): Transition.GRANT,
-    **{(Phase.UNCLEAR, RequestKind.OPEN, status): Transition.GRANT for status in _OTHERS},
+    **{(Phase.UNCLEAR, RequestKind.OPEN, status): Transition.GRANT for status in _NOT_REQUESTER},
     **{
         (Phase.DONE, RequestKind.OPEN, status): Transition.REPORT_RESPONSE
         for status in HolderStatus
     },
-    # The holder's own requests, which may come twice and late.
+    # Requests of the holder, which may be duplicated or late.
     (Phase.FREE, RequestKind.OPEN, HolderStatus.REQUESTER): Transition.REJECT_STALE,
     (Phase.HELD, RequestKind.OPEN, HolderStatus.REQUESTER): Transition.KEEP,
     (Phase.SENT, RequestKind.OPEN, HolderStatus.REQUESTER): Transition.KEEP,
@@ -106,4 +106,4 @@
     RequestKind.UNCLEAR: Phase.UNCLEAR,
     RequestKind.DONE: Phase.DONE,
 }
-"""The phase that a request advances a record to."""
+"""The phase of a record after it advanced, by request kind."""
--- a/tests/test_takeover_scheduler.py
+++ b/tests/test_takeover_scheduler.py
@@ -28,7 +28,7 @@
     coordinator = Coordinator("a", 1, INSTANCES, CoordinatorSettings(), START)
     for other, peer in coordinator.peers.items():
         peer.connected = other != LOST
-        peer.heard_at = START
+        peer.last_message_at = START
     replica = coordinator.replica
     number = 0
     while len(replica.records) < count:
@@ -48,7 +48,7 @@
     for step in range(300):
         now = START + step / 100
         for peer in coordinator.peers.values():
-            peer.heard_at = now
+            peer.last_message_at = now
         taken += [(now, call) for call in scheduler.due(now)]
     per_second = [
         sum(START + second <= at < START + 1 + second for at, _ in taken) for second in range(3)
