--- a/ingress/storage/__init__.py
+++ b/ingress/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable key-value storage: a write-ahead log with snapshots, over one file interface."""
+"""Durable key-value storage: a write-ahead log with snapshots, over a small file interface."""
--- a/ingress/storage/errors.py
+++ b/ingress/storage/errors.py
@@ -4,19 +4,19 @@
 
 
 class StoreError(Exception):
-    """The store can't be used, or can't be used any longer."""
+    """The store can't be used, or has become unusable."""
 
 
 class StoreLockedError(StoreError):
-    """Another process holds the folder."""
+    """Another process has locked the folder."""
 
 
 class CorruptStoreError(StoreError):
-    """The folder holds no usable store, and was not changed; the text names the file and why."""
+    """The folder has no usable store and is unchanged; the text names the file and the cause."""
 
 
 class StoreFailedError(StoreError):
-    """A write failed: uncommitted changes are lost, and no later change is accepted."""
+    """A write failed: uncommitted changes are lost, and further changes are rejected."""
 
 
 class DamagedRecordError(StoreError):
--- a/ingress/storage/file_system.py
+++ b/ingress/storage/file_system.py
@@ -1,4 +1,7 @@
-"""The interface for all file work, which tests replace by a corrupting disk, and the real one."""
+"""The interface to files, and its implementation on the operating system.
+
+Tests replace the implementation with a corrupting disk.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 from typing import Final, Protocol
 
 LOCK_FILE: Final = "lock"
-NOT_LOCKED: Final = -1  # in place of a file descriptor
+NOT_LOCKED: Final = -1  # used instead of a file descriptor
 
 
 class File(Protocol):
-    """A file that is only appended to. Each call may raise OSError."""
+    """An append-only file. Each call may raise OSError."""
 
     def write(self, data: bytes) -> None:
         """Appends all of `data`; a crash may lose it until `sync` has returned."""
@@ -20,9 +23,8 @@
     def sync(self) -> None:
         """Returns once everything written is durable.
 
-        After an error nothing written since the last success may be taken for durable, and a second
-        call that succeeds proves nothing (Rebello et al., "Can Applications Recover from fsync
-        Failures?", 2020).
+        After an error, treat all data written since the last success as lost, even if a second call
+        succeeds (Rebello et al., "Can Applications Recover from fsync Failures?", 2020).
         """
 
     def close(self) -> None:
@@ -30,22 +32,22 @@
 
 
 class FileSystem(Protocol):
-    """One folder. Each call may raise OSError."""
+    """The files of one folder. Each call may raise OSError."""
 
     def lock(self) -> bool:
-        """Locks the folder for this process; returns False if another process holds it."""
+        """Locks the folder for this process; returns False if another process has locked it."""
 
     def unlock(self) -> None:
-        """Releases the folder, if it is locked."""
+        """Unlocks the folder if this process has locked it."""
 
     def names(self) -> list[str]:
-        """Returns the names of all files but the lock, sorted."""
+        """Returns the sorted names of all files except the lock file."""
 
     def read(self, name: str) -> bytes:
         """Returns the whole content of a file."""
 
     def create(self, name: str) -> File:
-        """Returns a new empty file; a file of that name is replaced."""
+        """Returns a new empty file; replaces an existing file of that name."""
 
     def rename(self, old: str, new: str) -> None:
         """Renames a file atomically; the new name is durable on return."""
@@ -55,13 +57,13 @@
 
 
 class OsFile:
-    """A file of the operating system, opened for appending."""
+    """An append-only file of the operating system."""
 
     def __init__(self, path: Path) -> None:
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
 
     def write(self, data: bytes) -> None:
-        """Appends all of `data`, in several system calls if need be."""
+        """Appends all of `data`, in several system calls if necessary."""
         while data:
             data = data[os.write(self.fd, data) :]
 
@@ -75,7 +77,7 @@
 
 
 class OsFileSystem:
-    """A folder of the operating system, created if it does not exist."""
+    """The files of a folder of the operating system; creates the folder if necessary."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -83,7 +85,7 @@
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def lock(self) -> bool:
-        """Locks the folder for this process; returns False if another process holds it."""
+        """Locks the folder for this process; returns False if another process has locked it."""
         self.lock_fd = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -93,13 +95,13 @@
         return True
 
     def unlock(self) -> None:
-        """Releases the lock, if it is held."""
+        """Unlocks the folder if this process has locked it."""
         if self.lock_fd != NOT_LOCKED:
             os.close(self.lock_fd)
             self.lock_fd = NOT_LOCKED
 
     def names(self) -> list[str]:
-        """Returns the names of all files but the lock, sorted."""
+        """Returns the sorted names of all files except the lock file."""
         return sorted(path.name for path in self.folder.iterdir() if path.name != LOCK_FILE)
 
     def read(self, name: str) -> bytes:
@@ -118,11 +120,11 @@
         self._sync_folder()
 
     def remove(self, name: str) -> None:
-        """Deletes a file; a crash may bring it back."""
+        """Deletes a file; after a crash it may exist again."""
         (self.folder / name).unlink()
 
     def _sync_folder(self) -> None:
-        # A new name survives a crash only once its folder is synced.
+        # A new name survives a crash only after its folder is synced.
         fd = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(fd)
--- a/ingress/storage/record_format.py
+++ b/ingress/storage/record_format.py
@@ -1,8 +1,9 @@
-"""The bytes of a store's files: framed records with a position and a checksum.
+"""The binary format of a store's files: framed records with a position and a checksum.
 
-A record is a head and a body. The head holds a magic, the length of the body, the record's position
-and a CRC-32 over all of them, so that a torn, misdirected or stale block is recognized. Integers
-are little endian. The first record of each file is its `FileHeader`, at position 0.
+A record is a header and a body. The header holds a magic number, the length of the body, the
+record's position, and a CRC-32 of position, length and body, which detects a torn, misdirected or
+stale block. Integers are little-endian. The first record of each file is its `FileHeader`, at
+position 0.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 FORMAT_VERSION: Final = 1
 MAGIC: Final = b"\xc0\x70lg"
-RECORD_HEAD: Final = Struct("<4sIQI")  # magic, bytes of the body, position, checksum
+RECORD_HEADER: Final = Struct("<4sIQI")  # magic, body length, position, checksum
 MAX_BODY_BYTES: Final = 1 << 20
 
 
 class FileHeader(msgspec.Struct, array_like=True, frozen=True):
-    """The first record of each file. `entries`: how many follow in a snapshot."""
+    """The first record of each file. `entries`: number of entries that follow, in a snapshot."""
 
     version: int
     owner: str
@@ -33,34 +34,34 @@
 
 
 class LogRecord(NamedTuple):
-    """One record of a file. `position`: how many changes the store had seen with this one."""
+    """One record of a file. `position`: number of the store's changes up to and including it."""
 
     position: int
     body: bytes
 
 
 def _checksum(position: int, body: bytes) -> int:
-    head = position.to_bytes(8, "little") + len(body).to_bytes(4, "little")
-    return crc32(body, crc32(head))
+    header = position.to_bytes(8, "little") + len(body).to_bytes(4, "little")
+    return crc32(body, crc32(header))
 
 
 def encode_record(position: int, body: bytes) -> bytes:
-    """Returns the bytes of a record."""
-    return RECORD_HEAD.pack(MAGIC, len(body), position, _checksum(position, body)) + body
+    """Returns the encoded record."""
+    return RECORD_HEADER.pack(MAGIC, len(body), position, _checksum(position, body)) + body
 
 
 def decode_records(data: bytes) -> Iterator[LogRecord]:
-    """Yields the records of a file in their order.
+    """Yields the records of a file in order.
 
     Raises:
         DamagedRecordError: at the first record that is incomplete or does not match its checksum.
     """
     offset = 0
     while offset < len(data):
-        if len(data) - offset < RECORD_HEAD.size:
+        if len(data) - offset < RECORD_HEADER.size:
             raise DamagedRecordError(f"torn at byte {offset}")
-        magic, length, position, checksum = RECORD_HEAD.unpack_from(data, offset)
-        start = offset + RECORD_HEAD.size
+        magic, length, position, checksum = RECORD_HEADER.unpack_from(data, offset)
+        start = offset + RECORD_HEADER.size
         body = data[start : start + length]
         if (
             magic != MAGIC
@@ -68,8 +69,8 @@
             or len(body) < length
             or _checksum(position, body) != checksum
         ):
-            # A further record behind this one tells a damaged middle from an end that a crash tore.
-            followed = data.find(MAGIC, offset + 1) >= 0
-            raise DamagedRecordError(f"{'broken' if followed else 'torn'} at byte {offset}")
+            # A later record distinguishes corruption in the middle from an end torn by a crash.
+            record_follows = data.find(MAGIC, offset + 1) >= 0
+            raise DamagedRecordError(f"{'broken' if record_follows else 'torn'} at byte {offset}")
         yield LogRecord(position, body)
         offset = start + length
--- a/ingress/storage/store_reader.py
+++ b/ingress/storage/store_reader.py
@@ -1,10 +1,10 @@
-"""Reads what a store's folder holds, without changing anything in it.
+"""Reads the content of a store's folder without changing it.
 
-    snap-00000012   every entry as of position 12, complete before it had this name
+    snap-00000012   all entries as of position 12; complete before it gets this name
     log-00000013    the changes from position 13 on
 
-Positions count changes from the store's first one, without a gap, so that a single number tells how
-far a store has come.
+Positions number the changes of a store from its first one without gaps, so that a single number
+identifies its state.
 """
 
 from __future__ import annotations
@@ -24,17 +24,18 @@
 UNFINISHED_SUFFIX: Final = ".new"
 
 Entry = tuple[bytes, bytes | None]
-"""A key and its value, or None where the key is deleted."""
+"""A key and its value, or None if the key is deleted."""
 _entry: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
 _header: msgspec.msgpack.Decoder[FileHeader] = msgspec.msgpack.Decoder(FileHeader)
 
 
 @dataclass(slots=True)
 class StoreContents:
-    """What a folder holds.
+    """The readable content of a folder.
 
-    `position`: the last change that can be read; `faults`: what was wrong behind it, by file, the
-    cause first; `store_id`: drawn when the store was created, empty if no file could be read.
+    `position`: the last readable change; `faults`: descriptions of the faults after it, each with
+    its file, the first cause first; `store_id`: random id from the store's creation, empty if no
+    file was readable.
     """
 
     store_id: bytes = b""
@@ -44,11 +45,12 @@
 
 
 def read_store(file_system: FileSystem, owner: str) -> StoreContents:
-    """Returns what the folder holds.
+    """Returns the readable content of the folder.
 
     Raises:
-        CorruptStoreError: it belongs to another owner, or to another version of this program.
-        OSError: from the file system.
+        CorruptStoreError: the folder belongs to another owner, a file has another format version,
+            or the files belong to different stores.
+        OSError: the file system reports an error.
     """
     contents = StoreContents()
     names = file_system.names()
@@ -58,7 +60,7 @@
         if name.startswith(SNAPSHOT_PREFIX) and not name.endswith(UNFINISHED_SUFFIX)
     ]
     for name in reversed(snapshots):
-        # Behind a snapshot that can't be read, an earlier one and its logs may still be there.
+        # If a snapshot is unreadable, an earlier one and its logs may still exist.
         if _read_snapshot(file_system, name, owner, contents):
             break
     for name in names:
@@ -70,7 +72,7 @@
 def _read_header(
     name: str, records: Iterator[LogRecord], owner: str, contents: StoreContents
 ) -> FileHeader | None:
-    """Returns the header of a file, or None, with a fault noted, if it can't be read."""
+    """Returns the header of a file; if it is unreadable, adds a fault and returns None."""
     try:
         first = next(records, None)
     except DamagedRecordError as error:
@@ -82,7 +84,7 @@
     try:
         header = _header.decode(first.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        contents.faults.append(f"{name}: no title")
+        contents.faults.append(f"{name}: invalid file header")
         return None
     if header.version != FORMAT_VERSION:
         raise CorruptStoreError(
@@ -96,7 +98,7 @@
 
 
 def _read_snapshot(file_system: FileSystem, name: str, owner: str, contents: StoreContents) -> bool:
-    """Reads a snapshot; returns False, with a fault noted, if it is not complete."""
+    """Reads a snapshot; if it is incomplete, adds a fault and returns False."""
     records = decode_records(file_system.read(name))
     header = _read_header(name, records, owner, contents)
     if header is None:
@@ -112,7 +114,7 @@
         contents.faults.append(f"{name}: {error}")
         return False
     if len(entries) != header.entries:
-        contents.faults.append(f"{name}: {len(entries)} rows of {header.entries}")
+        contents.faults.append(f"{name}: {len(entries)} entries instead of {header.entries}")
         return False
     contents.store_id = header.store_id
     contents.entries = entries
@@ -121,7 +123,7 @@
 
 
 def _read_log(file_system: FileSystem, name: str, owner: str, contents: StoreContents) -> bool:
-    """Applies a log; returns False, with a fault noted, if later logs must not be applied."""
+    """Applies a log; if later logs must not be applied, adds a fault and returns False."""
     records = decode_records(file_system.read(name))
     header = _read_header(name, records, owner, contents)
     if header is None:
@@ -130,7 +132,7 @@
     try:
         for record in records:
             if record.position <= contents.position:
-                continue  # the snapshot has it
+                continue  # included in the snapshot
             if record.position != contents.position + 1:
                 contents.faults.append(
                     f"{name}: position {record.position} after {contents.position}"
--- a/ingress/storage/write_ahead_log.py
+++ b/ingress/storage/write_ahead_log.py
@@ -1,7 +1,7 @@
-"""A key-value store kept as a write-ahead log: each change is one record, commits are grouped.
+"""A key-value store on a write-ahead log: each change is one record; a commit writes a group.
 
-Once the log has grown long a snapshot of all entries takes its place. `store_reader` describes the
-files, `record_format` their bytes.
+A snapshot of all entries replaces the log once it is long. `store_reader` documents the files,
+`record_format` their binary format.
 """
 
 from __future__ import annotations
@@ -27,30 +27,31 @@
 )
 
 STORE_ID_BYTES: Final = 8
-MAX_ENTRY_BYTES: Final = MAX_BODY_BYTES - 64  # of key and value, beside their encoding
+MAX_ENTRY_BYTES: Final = MAX_BODY_BYTES - 64  # of key and value, without encoding overhead
 MAX_ENTRIES: Final = 1_000_000
-MAX_LOG_BYTES: Final = 8 << 20  # of changes, until a snapshot takes their place
+MAX_LOG_BYTES: Final = 8 << 20  # beyond, a snapshot replaces the log
 SET_ASIDE_PREFIX: Final = "left-"
 
 
 class Store:
-    """A durable table of keys and values; not for several threads at once.
+    """A durable mapping of keys to values; not thread-safe.
 
-    A change is durable once a `commit` after it has returned. `position` is the number of the last
-    change, `durable_position` of the last durable one. `store_id` stays the same as long as the
-    folder does, also where changes at its end were lost: other instances know how far it had come,
-    and find out.
+    A change is durable once a later `commit` has returned. `position` is the number of the last
+    change, `durable_position` that of the last durable change. `store_id` stays the same for the
+    lifetime of the folder, even if the latest changes are lost: other instances know the last
+    durable position of the store, and so detect the loss.
 
     Raises:
-        StoreLockedError: another process holds the folder.
-        CorruptStoreError: the folder is another owner's; nothing in it is overwritten.
-        StoreFailedError: the first file could not be written.
-        OSError: the folder could not be read.
+        StoreLockedError: another process has locked the folder.
+        CorruptStoreError: the folder belongs to another owner, or has files of another store or
+            format version; nothing in it is overwritten.
+        StoreFailedError: the first file can't be written.
+        OSError: the folder can't be read.
     """
 
     def __init__(self, file_system: FileSystem, owner: str) -> None:
         if not file_system.lock():
-            raise StoreLockedError("lock: another process has this folder")
+            raise StoreLockedError("lock: another process has locked this folder")
         self.file_system = file_system
         self.owner = owner
         self.recovered = read_store(file_system, owner)
@@ -58,7 +59,7 @@
         self.entries = dict(self.recovered.entries)
         self.position = self.recovered.position
         self.durable_position = self.recovered.position
-        self.failure = ""  # why no change is accepted any more
+        self.failure = ""  # the reason why changes are rejected; empty while the store is usable
         self.uncommitted: list[bytes] = []
         self.commits = 0
         self.log_bytes = 0
@@ -81,7 +82,7 @@
         self.entries[key] = value
 
     def delete(self, key: bytes) -> None:
-        """Removes a key, if it is there.
+        """Removes a key if it exists.
 
         Raises:
             StoreFailedError: an earlier write failed.
@@ -100,7 +101,7 @@
             raise StoreFailedError(self.failure)
 
     def commit(self) -> int:
-        """Makes all changes so far durable, and returns the position of the last one.
+        """Makes all changes so far durable; returns the position of the last one.
 
         Raises:
             StoreFailedError: this write or an earlier one failed.
@@ -130,15 +131,15 @@
         raise StoreFailedError(self.failure) from error
 
     def _start_log(self) -> None:
-        """Opens a log of this process's own; nothing is appended to what an earlier one left.
+        """Opens a new log for this process; never appends to a log of an earlier process.
 
-        Behind a fault, changes that were given up still stand in old files and must never be read
-        as the ones that follow. So what could be read is written anew, and the old files are set
-        aside.
+        After a fault the old files still contain abandoned changes, which must never be read as the
+        successors of the recovered ones. So the recovered entries are rewritten, and the old files
+        are set aside.
         """
         try:
             if self.recovered.faults:
-                self._rewrite_setting_aside()
+                self._rewrite_after_fault()
             else:
                 self._open_log()
         except OSError as error:
@@ -151,7 +152,7 @@
     def _open_log(self) -> None:
         name = f"{LOG_PREFIX}{self.position + 1:08d}"
         if name in self.file_system.names():
-            self._set_aside(name)  # it holds no change, or the position would be further on
+            self._set_aside(name)  # it has no changes, or the position would be greater
         header = self._header(snapshot=False)
         file = self.file_system.create(name)
         file.write(header)
@@ -179,8 +180,8 @@
         self.file_system.rename(unfinished, name)
         return name
 
-    def _rewrite_setting_aside(self) -> None:
-        """Writes a snapshot and a new log; all files that were there are set aside."""
+    def _rewrite_after_fault(self) -> None:
+        """Writes a snapshot and a new log, and sets all earlier files aside."""
         old_names = self.file_system.names()
         snapshot = self._write_snapshot()
         for name in old_names:
@@ -189,7 +190,7 @@
         self._open_log()
 
     def _replace_log_by_snapshot(self) -> None:
-        """Writes a snapshot and a new log, and removes the files that they supersede."""
+        """Writes a snapshot and a new log, and removes the files that they replace."""
         old_names = self.file_system.names()
         snapshot = self._write_snapshot()
         for name in old_names:
@@ -205,7 +206,7 @@
                 self.file_system.remove(name)
 
     def close(self) -> None:
-        """Commits what is left, unless the store failed, and releases the folder.
+        """Commits the remaining changes, unless the store has failed, and unlocks the folder.
 
         Raises:
             StoreFailedError: the last commit failed.
--- a/tests/corrupting_disk.py
+++ b/tests/corrupting_disk.py
@@ -1,4 +1,4 @@
-"""A disk that loses or alters what it acknowledged, behind the store's file interface."""
+"""A disk that loses or alters acknowledged data, behind the store's file interface."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from ingress.storage.record_format import MAGIC
 
-BLOCK_BYTES = 256  # what the disk writes as one
+BLOCK_BYTES = 256  # unit of a disk write
 
 
 @dataclass
@@ -18,12 +18,12 @@
     name: str
 
     def write(self, data: bytes) -> None:
-        """Appends, where a reader sees it and a crash loses it."""
+        """Appends data that is readable, but lost in a crash until `sync`."""
         self.disk.raise_error_of("write")
         self.disk.visible[self.name] += data
 
     def sync(self) -> None:
-        """Makes the content durable; where syncs are ignored, every seventh one of a log."""
+        """Makes the content durable; if syncs are ignored, only every seventh one of a log does."""
         self.disk.raise_error_of("sync")
         if (
             self.disk.ignores_syncs
@@ -41,10 +41,10 @@
 
 @dataclass
 class CorruptingDisk:
-    """Files by name. `visible`: what a reader sees; `durable`: what a crash leaves.
+    """A disk in memory. `visible`: content for readers, by name; `durable`: content after a crash.
 
-    `ignores_syncs`: a sync succeeds and does nothing; `errors`: the errno that a call raises, by
-    its name.
+    `ignores_syncs`: most syncs of a log succeed without effect; `errors`: the errno that a call
+    raises, by the name of the call.
     """
 
     ignores_syncs: bool = False
@@ -54,19 +54,19 @@
     ignored_syncs: int = 0
 
     def raise_error_of(self, call: str) -> None:
-        """Raises the OSError that is set for a call."""
+        """Raises the OSError configured for a call, if any."""
         if number := self.errors.get(call):
             raise OSError(number, os.strerror(number))
 
     def lock(self) -> bool:
-        """Returns True: tests of locks use real folders."""
+        """Returns True; tests of locks use real folders."""
         return True
 
     def unlock(self) -> None:
         """Does nothing."""
 
     def names(self) -> list[str]:
-        """Returns the names of all files, sorted."""
+        """Returns the sorted names of all files."""
         return sorted(self.visible)
 
     def read(self, name: str) -> bytes:
@@ -93,12 +93,12 @@
         self.durable.pop(name, None)
 
     def after_crash(self) -> CorruptingDisk:
-        """Returns the disk as a crash leaves it."""
+        """Returns the disk as it is after a crash: with the durable content only."""
         return CorruptingDisk(
             self.ignores_syncs, dict(self.durable), dict(self.durable), dict(self.errors)
         )
 
-    # Corruptions of the longest file; each returns whether it changed anything.
+    # Corruptions of the longest file; each returns whether the content changed.
 
     def _longest(self) -> str:
         return max(self.visible, key=lambda name: len(self.visible[name]))
@@ -111,22 +111,22 @@
         return changed
 
     def lose_tail(self) -> bool:
-        """Loses the last record, so that the file ends behind a complete one."""
+        """Removes the whole last record, so that the file ends after a complete record."""
         data = self.visible[self._longest()]
         return self._replace_longest(data[: data.rindex(MAGIC)])
 
     def tear(self) -> bool:
-        """Loses part of the last record."""
+        """Removes the last 5 bytes of the last record."""
         return self._replace_longest(self.visible[self._longest()][:-5])
 
     def flip_bit(self) -> bool:
-        """Flips a bit in the middle."""
+        """Flips a bit in the middle of the file."""
         data = bytearray(self.visible[self._longest()])
         data[len(data) // 2] ^= 4
         return self._replace_longest(bytes(data))
 
     def stale_block(self) -> bool:
-        """Puts a block back as it was before it was written: zeros."""
+        """Replaces a block with zeros, its content from before it was written."""
         data = self.visible[self._longest()]
         start = 2 * BLOCK_BYTES
         return self._replace_longest(
@@ -134,7 +134,7 @@
         )
 
     def misdirect(self) -> bool:
-        """Writes a block over another one."""
+        """Overwrites a block with the first block of the file."""
         data = self.visible[self._longest()]
         start = 2 * BLOCK_BYTES
         return self._replace_longest(
