--- a/ingress/components/handover_calls.py
+++ b/ingress/components/handover_calls.py
@@ -1,4 +1,4 @@
-"""What of a call its replicas hold, so that another instance can send it."""
+"""The part of a call that its replicas store, so that another instance can send it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ReplicatedCall(msgspec.Struct, array_like=True, frozen=True):
-    """A call as it is sent to replicas and stored: a MessagePack array in this order."""
+    """The form of a call for replicas and the store: a MessagePack array in this order."""
 
     customer: str
     request_class: str
@@ -24,7 +24,7 @@
 
 
 def encode_call(call: Call) -> bytes:
-    """Returns the bytes of a call for its replicas."""
+    """Returns a call encoded for its replicas."""
     return msgspec.msgpack.encode(
         ReplicatedCall(
             call.customer,
@@ -40,9 +40,9 @@
 
 
 def decode_call(data: bytes, client_request_id: bytes, timeout: float) -> Call | None:
-    """Returns the call to send in place of a lost instance, or None for bytes that hold none.
+    """Returns the call to send on behalf of a lost instance, or None if `data` is invalid.
 
-    `timeout`: seconds. The call takes no units: the lost instance counted them.
+    `timeout`: seconds. The call has 0 units, because the lost instance has counted its units.
     """
     try:
         replicated = _decoder.decode(data)
--- a/ingress/components/handover_upstream.py
+++ b/ingress/components/handover_upstream.py
@@ -1,6 +1,6 @@
-"""An upstream whose requests in flight survive their instance.
+"""An upstream whose requests in flight survive the loss of their instance.
 
-Imported only where the operator's file has [handover].
+Imported only if the operator's file has [handover].
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 TICK_INTERVAL_S: Final = 0.01
 INCARNATION_BYTES: Final = 8
-# How takeovers ended, by the key in the reported counts.
+# The key in the reported counts for each outcome of a takeover.
 TAKEOVER_COUNTS: Final = {
     ResponseKind.SERVED: "served",
     ResponseKind.REJECTED: "refused",
@@ -50,11 +50,11 @@
 }
 
 AttemptId = tuple[str, int]
-"""The key of a request, and the number of its attempt."""
+"""The key of a request and the number of the attempt."""
 
 
 class TakeoverDownstream:
-    """Receives the response to a call of a lost instance, for which no client waits."""
+    """Receives the response to a call of a lost instance; no client waits for it."""
 
     request_key = ""
 
@@ -71,27 +71,27 @@
 
 
 def open_store(setting: Handover, owner: str, file_system: FileSystem | None) -> Store | None:
-    """Returns the store at the configured folder, or None where none is configured.
+    """Returns the store in the configured folder, or None if no folder is configured.
 
     Raises:
-        ConfigurationError: the folder can't be used.
+        ConfigurationError: the folder can't be used as a store.
     """
     if setting.storage_dir is None:
         return None
     try:
         store = Store(file_system or OsFileSystem(setting.storage_dir), owner)
     except (OSError, StoreError) as error:
-        where = f"{setting.file}: handover: store: {setting.storage_dir}"
-        raise ConfigurationError(f"{where}: {error}") from None
+        location = f"{setting.file}: handover: store: {setting.storage_dir}"
+        raise ConfigurationError(f"{location}: {error}") from None
     for fault in store.recovered.faults:
-        log.warning("store: %s; it can be read up to position %d", fault, store.recovered.position)
+        log.warning("store: %s; readable up to position %d", fault, store.recovered.position)
     return store
 
 
 def create_coordinator(
     setting: Handover, name: str, now: float, store: Store | None
 ) -> Coordinator:
-    """Returns the coordinator of this process, with the records that the store holds."""
+    """Returns the coordinator of this process, with the records of the store."""
     settings = CoordinatorSettings(
         deduplication_window=setting.deduplication_window,
         max_delay=setting.max_delay,
@@ -105,22 +105,22 @@
     position = 0
     if store is not None:
         window = settings.deduplication_window
-        previous = record_codec.recover(replica, store.entries, now, window)
-        incarnation = max(incarnation, previous + 1)
+        previous_incarnation = record_codec.recover(replica, store.entries, now, window)
+        incarnation = max(incarnation, previous_incarnation + 1)
         encoded_incarnation = incarnation.to_bytes(INCARNATION_BYTES, "big")
         store.put(record_codec.INCARNATION_KEY, encoded_incarnation)
         store_id = store.store_id
         position = store.recovered.position
-    replica.changed_names.clear()  # the store has them
+    replica.changed_names.clear()  # the store already has these records
     instances = tuple(sorted(setting.peers))
     return Coordinator(name, incarnation, instances, settings, now, replica, store_id, position)
 
 
 class HandoverUpstream:
-    """Asks the replicas before each attempt with an idempotency key, and starts it at `inner`.
+    """Starts attempts at `inner`; one with an idempotency key only after its replicas decided.
 
-    `inner` and `exchange` are set before `open`; `file_system` takes the place of the real one at
-    the configured folder.
+    `inner` and `exchange` are set before `open`; `file_system` replaces the real one of the
+    configured folder.
 
     Raises:
         ConfigurationError: this instance is not among the peers, or the store can't be used.
@@ -157,7 +157,7 @@
         self.takeover_scheduler = TakeoverScheduler(self.coordinator, setting.takeover_rate)
         self.connections = self._create_connections()
         self.undecided: dict[int, Attempt] = {}  # by operation
-        self.operations: dict[AttemptId, int] = {}  # of attempts that were started
+        self.operations: dict[AttemptId, int] = {}  # of started attempts
         self.timer: asyncio.TimerHandle | None = None
         self.flush_scheduled = False
         self.last_takeover = 0
@@ -175,7 +175,7 @@
         )
 
     async def open(self) -> None:
-        """Makes the incarnation durable, and connects to the others.
+        """Makes the incarnation durable, then connects to the other instances.
 
         Raises:
             OSError: the address can't be bound.
@@ -206,13 +206,13 @@
         self._flush_soon()
 
     def _flush_soon(self) -> None:
-        """Flushes once for all that comes in this turn of the loop."""
+        """Schedules one flush for all events of this iteration of the event loop."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             self.loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Sends the coordinator's messages, acts on its decisions, and writes what changed."""
+        """Sends the coordinator's messages, executes its decisions and stores changed records."""
         self.flush_scheduled = False
         coordinator = self.coordinator
         while coordinator.outbox or coordinator.decisions:
@@ -249,19 +249,19 @@
         elif decision.verdict is Verdict.DONE:
             self._end(attempt, Outcome.SUPERSEDED, decision.response)
         else:
-            self._refuse(attempt, decision)
+            self._reject(attempt, decision)
 
     def _proceed(self, attempt: Attempt, decision: Decision, now: float) -> None:
         self.operations[_attempt_id(attempt)] = decision.operation
-        # A resent request that is written late finds a backend that has forgotten its key: the
-        # inner upstream checks the deadline as it writes.
+        # If a resent request were written late, its backend would have forgotten the key. The inner
+        # upstream checks the deadline when it writes.
         attempt.deadline = min(attempt.deadline, decision.send_before)
         attempt.sent_at = now
         attempt.on_written = self._on_written
         self.inner.start(attempt)
 
-    def _refuse(self, attempt: Attempt, decision: Decision) -> None:
-        # A rejection says that nothing ran, which is sure of a first attempt alone.
+    def _reject(self, attempt: Attempt, decision: Decision) -> None:
+        # A rejection states that nothing ran, which is certain only for a first attempt.
         if decision.verdict is Verdict.RETRY_LATER and attempt.number == 0:
             attempt.final_response = Response(
                 ResponseKind.REJECTED, retry_after=decision.retry_after
@@ -270,12 +270,12 @@
             attempt.final_response = FAILED_RESPONSE
         self._end(attempt, Outcome.SUPERSEDED)
 
-    # The upstream of the exchange
+    # The `Upstream` interface
 
     def change(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
-        """Passes the list of backends on."""
+        """Passes a change of the list of backends to the inner upstream."""
         self.inner.change(full, backends, addresses)
 
     def close_idle(self, backend: str) -> None:
@@ -283,12 +283,12 @@
         self.inner.close_idle(backend)
 
     def start(self, attempt: Attempt) -> None:
-        """Starts an attempt: with an idempotency key, only once its replicas have granted it."""
+        """Starts an attempt; asks the replicas first if it has an idempotency key."""
         call = attempt.call
         if not call.idempotency_key:
             self.inner.start(attempt)
             return
-        # A call with a longer body is not taken over.
+        # A call with a longer body is replicated without its content and never taken over.
         replicated = encode_call(call) if len(call.body or b"") <= MAX_BODY_BYTES else b""
         operation = self.coordinator.open(
             self.clock(),
@@ -300,22 +300,22 @@
         self._flush_soon()
 
     def _is_undecided(self, attempt: Attempt) -> bool:
-        """Returns whether the inner upstream does not know the attempt yet."""
+        """Returns whether the attempt waits for its decision and `inner` has not started it."""
         if attempt.connection is not None or attempt.ended:
             return False
         return attempt in self.undecided.values()
 
     def cancel(self, attempt: Attempt) -> None:
-        """Gives an attempt up; nothing more of it is written."""
+        """Cancels an attempt; nothing more of it is written."""
         if self._is_undecided(attempt):
-            self._end(attempt, Outcome.CANCELLED)  # the decision finds it ended
+            self._end(attempt, Outcome.CANCELLED)  # a later decision is ignored
         else:
             self.inner.cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends an attempt that is not written yet; one that is written goes on."""
+        """Ends an attempt if it is not yet written; a written one continues."""
         if self._is_undecided(attempt):
-            self._end(attempt, Outcome.SUPERSEDED)  # the decision finds it ended
+            self._end(attempt, Outcome.SUPERSEDED)  # a later decision is ignored
         else:
             self.inner.withdraw(attempt)
 
@@ -332,7 +332,7 @@
     def ended(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, load: Mapping[str, float]
     ) -> None:
-        """Takes the outcome of an attempt from the inner upstream, and passes it on."""
+        """Reports the outcome of an attempt at the inner upstream to replicas and exchange."""
         operation = self.operations.pop(_attempt_id(attempt), None)
         if operation is not None:
             if value is not None and len(value) <= MAX_BODY_BYTES:
@@ -343,7 +343,7 @@
             self._flush_soon()
         self.on_ended(attempt, outcome, value, load)
 
-    # Requests of lost instances
+    # Takeover of requests of lost instances
 
     def _take_over(self, replicated: bytes) -> None:
         number = self.last_takeover + 1
@@ -359,7 +359,7 @@
         self.takeovers["begun"] += 1
 
     def counts(self) -> dict[str, Any]:
-        """Returns the reported counts; their keys are read by operators' tools."""
+        """Returns the reported counts; operators' tools read their keys."""
         now = self.clock()
         coordinator = self.coordinator
         replica = coordinator.replica
@@ -386,7 +386,7 @@
         }
 
     def close(self) -> None:
-        """Sends what is left, and closes the connections, the store and the inner upstream."""
+        """Sends remaining messages; closes the connections, the store and the inner upstream."""
         if self.timer is not None:
             self.timer.cancel()
         self._flush()
--- a/ingress/components/peer_connections.py
+++ b/ingress/components/peer_connections.py
@@ -1,7 +1,7 @@
-"""Connections among instances: each writes where it dials, and reads where it was dialed.
+"""Connections between instances: each writes to those it dials, and reads from those it accepts.
 
-The acceptor begins with a magic and a random nonce; the dialer sends a magic, a nonce and its name.
-Sealed frames follow, from the dialer alone; `frame_sealer` describes them.
+The acceptor first sends a magic string and a random nonce; the dialer sends a magic string, a nonce
+and its name. Then only the dialer sends sealed frames, which `frame_sealer` documents.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import msgspec
 
 from ingress.components.frame_sealer import (
-    HEAD_BYTES,
+    HEADER_BYTES,
     LENGTH_BYTES,
     MAX_FRAME_BODY_BYTES,
     SEAL_BYTES,
@@ -33,21 +33,21 @@
 MAGIC: Final = b"cbhand01"
 NONCE_BYTES: Final = 16
 GREETING_BYTES: Final = len(MAGIC) + NONCE_BYTES
-FRAME_TARGET_BYTES: Final = 1 << 18  # of messages, after which a frame is closed
-MAX_UNSENT_BYTES: Final = 8 << 20  # that a peer may leave unread before its connection is aborted
+FRAME_TARGET_BYTES: Final = 1 << 18  # of messages, after which the next frame starts
+MAX_UNSENT_BYTES: Final = 8 << 20  # buffered for a peer; beyond, its connection is aborted
 REDIAL_DELAY_S: Final = 0.2
 DIAL_TIMEOUT_S: Final = 1.0
 MAX_INBOUND: Final = 256
-MAX_LOGGED_REJECTIONS: Final = 20  # one by one; beyond, only every LOG_INTERVAL-th is logged
+MAX_LOGGED_REJECTIONS: Final = 20  # each; beyond, only every LOG_INTERVAL-th is logged
 LOG_INTERVAL: Final = 1000
-ARRAY_16: Final = b"\xdc"  # MessagePack: an array, its length in 2 bytes
+ARRAY_16: Final = b"\xdc"  # MessagePack: an array whose length follows in 2 bytes
 
 _encoder = msgspec.msgpack.Encoder()
 OnMessage = Callable[[str, Message], None]
 
 
 class InboundConnection(asyncio.Protocol):
-    """A connection that another instance dialed; it is only read from."""
+    """A read-only connection that another instance dialed."""
 
     def __init__(self, connections: PeerConnections) -> None:
         self.connections = connections
@@ -58,7 +58,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the greeting, or aborts the connection where there are too many."""
+        """Sends the greeting, or aborts the connection if there are too many."""
         self.transport = cast("asyncio.Transport", transport)
         if len(self.connections.inbound) >= MAX_INBOUND:
             self.transport.abort()
@@ -67,11 +67,11 @@
         self.transport.write(MAGIC + self.nonce)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
+        """Removes the connection from the set of inbound connections."""
         self.connections.inbound.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hands on the messages of all complete frames."""
+        """Passes on the messages of all complete frames; aborts on a malformed one."""
         self.buffer += data
         try:
             while self._read_next():
@@ -82,21 +82,21 @@
                 self.transport.abort()
 
     def _read_next(self) -> bool:
-        """Takes the greeting or one frame; returns False if it is not complete."""
+        """Reads the greeting or one frame; returns False if it is incomplete."""
         if self.sealer is None:
             return self._read_greeting()
         return self._read_frame(self.sealer)
 
     def _read_greeting(self) -> bool:
-        """Takes the dialer's greeting; returns False if it is not complete."""
+        """Reads the dialer's greeting; returns False if it is incomplete."""
         buffer = self.buffer
         if len(buffer) <= GREETING_BYTES:
             if not MAGIC.startswith(buffer[: len(MAGIC)]):
-                raise MalformedMessageError("another protocol")
+                raise MalformedMessageError("greeting of another protocol")
             return False
         name_length = buffer[GREETING_BYTES]
         if not buffer.startswith(MAGIC) or not 0 < name_length <= MAX_INSTANCE_NAME_LENGTH:
-            raise MalformedMessageError("another protocol")
+            raise MalformedMessageError("greeting of another protocol")
         name_start = GREETING_BYTES + 1
         name_end = name_start + name_length
         if len(buffer) < name_end:
@@ -108,17 +108,17 @@
         return True
 
     def _read_frame(self, sealer: FrameSealer) -> bool:
-        """Takes one frame; returns False if it is not complete."""
+        """Reads one frame; returns False if it is incomplete."""
         buffer = self.buffer
-        if len(buffer) < HEAD_BYTES:
+        if len(buffer) < HEADER_BYTES:
             return False
         length = int.from_bytes(buffer[:LENGTH_BYTES], "little")
         if not SEAL_BYTES < length <= MAX_FRAME_BODY_BYTES + SEAL_BYTES:
             raise MalformedMessageError(f"frame length {length} is out of range")
-        frame_end = HEAD_BYTES + length
+        frame_end = HEADER_BYTES + length
         if len(buffer) < frame_end:
             return False
-        messages = sealer.open(buffer[LENGTH_BYTES], buffer[HEAD_BYTES:frame_end])
+        messages = sealer.open(buffer[LENGTH_BYTES], buffer[HEADER_BYTES:frame_end])
         self.buffer = buffer[frame_end:]
         for message in messages:
             self.connections.on_message(self.name, message)
@@ -126,7 +126,7 @@
 
 
 class OutboundConnection(asyncio.Protocol):
-    """The connection to another instance that this one dials, again after each loss."""
+    """A write-only connection to another instance, dialed again after each loss."""
 
     def __init__(self, connections: PeerConnections, name: str, address: tuple[str, int]) -> None:
         self.connections = connections
@@ -148,7 +148,7 @@
         self.transport.write(MAGIC + self.nonce + bytes((len(name),)) + name)
 
     def data_received(self, data: bytes) -> None:
-        """Takes the acceptor's greeting, and aborts on anything else."""
+        """Reads the acceptor's greeting; aborts on any other data."""
         if self.sealer is not None:
             self.abort()
             return
@@ -162,23 +162,23 @@
         self.connections.on_connection_change(self.name, True)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drops what is unsent, and dials again after a delay."""
-        was_up = self.sealer is not None
+        """Drops unsent messages, and dials again after a delay."""
+        was_connected = self.sealer is not None
         self.transport = None
         self.sealer = None
         self.unsent.clear()
-        if was_up:
+        if was_connected:
             self.connections.on_connection_change(self.name, False)
         if not self.connections.closed:
             self.connections.loop.call_later(REDIAL_DELAY_S, self.connections.dial, self)
 
     def abort(self) -> None:
-        """Ends the connection without sending what is buffered."""
+        """Closes the connection without sending buffered data."""
         if self.transport is not None:
             self.transport.abort()
 
     def send(self, message: Message) -> None:
-        """Sends a message with others of this turn of the loop; drops it while disconnected."""
+        """Queues a message for the next event loop iteration; drops it while disconnected."""
         if self.sealer is None or self.transport is None:
             return
         if not self.unsent:
@@ -186,7 +186,7 @@
         self.unsent.append(_encoder.encode(message))
 
     def flush(self) -> None:
-        """Writes all unsent messages, or aborts the connection of a peer that does not read."""
+        """Writes all unsent messages, or aborts the connection if the peer does not read."""
         if self.sealer is None or self.transport is None or not self.unsent:
             return
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -208,15 +208,15 @@
     def _write(self, messages: list[bytes]) -> None:
         assert self.transport is not None
         assert self.sealer is not None
-        array_head = ARRAY_16 + len(messages).to_bytes(2, "big")
-        self.transport.write(self.sealer.seal(array_head + b"".join(messages)))
+        array_header = ARRAY_16 + len(messages).to_bytes(2, "big")
+        self.transport.write(self.sealer.seal(array_header + b"".join(messages)))
 
 
 class PeerConnections:
     """All connections of one instance.
 
-    `on_message` gets each message with its sender's name; `on_connection_change` the name of an
-    instance, and whether the connection to it has come up or ended.
+    `on_message` receives each message with its sender's name. `on_connection_change` receives the
+    name of an instance, and whether the connection to it was established or lost.
     """
 
     def __init__(
@@ -248,11 +248,11 @@
         self.rejected = 0
 
     def sealer(self, acceptor_nonce: bytes, dialer_nonce: bytes) -> FrameSealer:
-        """Returns the sealer of a new connection."""
+        """Returns the frame sealer for a new connection."""
         return FrameSealer(self.keys, self.sealing_key_id, acceptor_nonce, dialer_nonce)
 
     async def open(self) -> None:
-        """Listens, and begins to dial all others.
+        """Starts to listen and to dial all other instances.
 
         Raises:
             OSError: the address can't be bound.
@@ -262,7 +262,7 @@
             self.dial(connection)
 
     def dial(self, connection: OutboundConnection) -> None:
-        """Dials in a task of its own, which keeps on until the connection is up."""
+        """Dials in a separate task; dials again after a failure."""
         task = self.loop.create_task(self._dial(connection))
         self.dialing.add(task)
         task.add_done_callback(self.dialing.discard)
@@ -276,19 +276,19 @@
                 self.loop.call_later(REDIAL_DELAY_S, self.dial, connection)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Sends a message to another instance; drops it where the connection is down."""
+        """Sends a message to another instance; drops it if there is no connection."""
         if connection := self.outbound.get(receiver):
             connection.send(message)
 
     def reject(self, sender: str, error: MalformedMessageError) -> None:
-        """Counts and logs a connection that is ended for what it sent."""
+        """Counts and logs a connection that is closed because of malformed data."""
         self.rejected += 1
         if self.rejected <= MAX_LOGGED_REJECTIONS or self.rejected % LOG_INTERVAL == 0:
             name = sender[:MAX_INSTANCE_NAME_LENGTH]
             log.warning("handover: connection from %s rejected: %s", name, error)
 
     def close(self) -> None:
-        """Sends what is unsent and ends all connections."""
+        """Sends unsent messages and closes all connections."""
         self.closed = True
         if self.server is not None:
             self.server.close()
--- a/ingress/components/record_persistence.py
+++ b/ingress/components/record_persistence.py
@@ -1,4 +1,4 @@
-"""Keeps a replica's records in a store, and holds its replies until what they tell is durable."""
+"""Stores a replica's records, and delays its replies until the records are durable."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_REPLIES: Final = 50_000  # beyond, replies are dropped and counted
+MAX_PENDING_REPLIES: Final = 50_000  # further replies are dropped and counted
 
 
 class PendingReply(NamedTuple):
-    """A reply that waits for the store, and the instance that gets it."""
+    """A reply that waits for the store, and its receiver."""
 
     receiver: str
     reply: ReplicaReply
 
 
 class RecordPersistence:
-    """Writes a replica's changes in groups: one is written while the next gathers.
+    """Writes a replica's changes in groups: while one is written, the next one accumulates.
 
-    `send` sends a reply; `flush` is called once a group is durable, and `flush_soon` once replies
+    `send` sends a reply. `flush` is called after a group is durable, and `flush_soon` after replies
     were sent.
     """
 
@@ -55,14 +55,14 @@
         self.dropped = 0
 
     def send_when_durable(self, receiver: str, reply: ReplicaReply) -> None:
-        """Sends a reply once all changes so far are durable; drops it where too many wait."""
+        """Sends a reply once all changes so far are durable; drops it if too many are pending."""
         if len(self.pending) < MAX_PENDING_REPLIES:
             self.pending.append(PendingReply(receiver, reply))
         else:
             self.dropped += 1
 
     def write_changes(self) -> None:
-        """Begins to write what changed, unless a group is being written."""
+        """Starts to write the changed records, unless a group is being written."""
         replica = self.coordinator.replica
         if self.writing is not None or not (self.pending or replica.changed_names):
             return
@@ -71,7 +71,7 @@
         pending = self.pending
         self.pending = []
         if self.store.failure:
-            self._release(pending)  # they rest on this process's memory alone, as without a store
+            self._release(pending)  # their records are in memory only, as without a store
             return
         try:
             self._put(changed_names)
@@ -107,19 +107,19 @@
             self.send(receiver, msgspec.structs.replace(reply, durable_position=position))
         self.flush_soon()
 
-    def _on_failure(self, why: str, pending: list[PendingReply]) -> None:
-        """Goes on in memory, which counts while this process lives.
+    def _on_failure(self, reason: str, pending: list[PendingReply]) -> None:
+        """Continues with records in memory, which are valid as long as this process runs.
 
-        The coordinator names no store any more, so that the next process is not taken for one that
-        remembers what this one acknowledged.
+        The coordinator no longer reports a store, so that the other instances do not assume that
+        the next process still has the records that this one acknowledged.
         """
-        log.error("store: %s; records are in memory only from now on", why)
+        log.error("store: %s; from now on, records are kept in memory only", reason)
         self.coordinator.store_id = b""
         self.coordinator.durable_position = 0
         self._release(pending)
 
     def close(self) -> None:
-        """Waits for the group that is being written, and closes the store."""
+        """Waits for the group that is being written, then closes the store."""
         self.writer.shutdown(wait=True)
         if not self.store.failure:
             self.store.close()
