--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -1,4 +1,4 @@
-"""Fleets with handover: clients that submit and retry where a test wants, and what came of it."""
+"""Fleets with handover for tests: clients that submit and retry at chosen instances."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 from ingress.testbed.world import World
 from tests.stand import counted
 
-FIRST_SUBMISSION_NUMBER = 1_000_000  # of these clients' submissions in the record
-REQUEST_ID_SUFFIX = "7e577e57"  # of these clients' requests
-KEY_PREFIX = 0x7E57  # of these clients' idempotency keys
-COPIES = 2  # the default of [handover]
-EVENT_TIMEOUT_S = 30.0  # on a machine that does much else
+FIRST_SUBMISSION_NUMBER = 1_000_000  # in the record, for the submissions of these clients
+REQUEST_ID_SUFFIX = "7e577e57"  # marks the requests of these clients
+KEY_PREFIX = 0x7E57  # marks the idempotency keys of these clients
+COPIES = 2  # default of [handover]
+EVENT_TIMEOUT_S = 30.0  # long enough for a busy machine
 CASE_TIMEOUT_S = 120.0
-FAULTY = f"exec {sys.executable} -m tests.faulty"  # the command of an instance with a seeded fault
+FAULTY = f"exec {sys.executable} -m tests.faulty"  # command that starts an instance with a fault
 request_numbers = itertools.count(1)
 
 
 def customer_of(key: str) -> str:
-    """Returns the customer of a submission: one of its own, so that no quota stands in the way."""
+    """Returns the customer of a submission, one per submission so that no quota interferes."""
     return f"{int(key[-8:], 16):016x}"
 
 
 @dataclass
 class ClientOutcome:
-    """How one attempt of a client ended.
+    """The outcome of one attempt of a client.
 
-    `kind`: served, refused, failed, or broken, where its connection ended; `retry_after`: seconds.
+    `kind`: served, refused, failed, or broken if the connection was lost; `retry_after`: seconds.
     """
 
     kind: str
@@ -57,15 +57,15 @@
 
 
 def _work_time(server: GridServer, factor: float, name: str) -> float:
-    usual = GridServer.work(server, name)
+    work_time = GridServer.work(server, name)
     if factor > 1.0 and name.endswith(REQUEST_ID_SUFFIX):
-        return max(0.1, usual) * factor
-    return usual
+        return max(0.1, work_time) * factor
+    return work_time
 
 
 @dataclass
 class HandoverFleet:
-    """A running testbed whose instances hand over."""
+    """A running testbed whose instances use handover."""
 
     world: World
     crew: Crew
@@ -78,14 +78,14 @@
         return key
 
     def replicas_of(self, key: str) -> list[int]:
-        """Returns the numbers of a submission's replicas, the first to take over first."""
+        """Returns the numbers of a submission's replicas, in the order of takeover."""
         instances = tuple(sorted(ingress.name for ingress in self.world.ingresses))
         name = record_name(customer_of(key), "solution-submit", key)
         ranked = replicas_for(name, instances, COPIES)
         return [int(instance.rpartition("-")[2]) for instance in ranked]
 
     def new_key_not_replicated_by(self, *owners: int) -> str:
-        """Returns the key of a new submission that none of these instances replicates."""
+        """Returns the key of a new submission that none of the instances `owners` replicates."""
         while True:
             key = self.new_key()
             if not set(self.replicas_of(key)) & set(owners):
@@ -102,14 +102,14 @@
         if body:
             length = len(words.solution)
             data = data.replace(words.solution, body.encode().ljust(length)[:length])
-        tried = self._recorded_try(words, ingress)
+        recorded_try = self._new_recorded_try(words, ingress)
         try:
             async with asyncio.timeout(wait + 1.0):
-                outcome = await self._exchange(ingress, codec, data, tried)
+                outcome = await self._exchange(ingress, codec, data, recorded_try)
         except (OSError, TimeoutError):
             outcome = None
         if outcome is None:
-            tried.ended = self.world.clock()
+            recorded_try.ended = self.world.clock()
             return ClientOutcome("broken")
         return outcome
 
@@ -119,7 +119,7 @@
             request_id, customer_of(key), "plus", "solution-submit", key, wait, 1, 0, False, False
         )
 
-    def _recorded_try(self, words: Words, ingress: int) -> Try:
+    def _new_recorded_try(self, words: Words, ingress: int) -> Try:
         return Try(
             words.id,
             words.customer,
@@ -135,29 +135,29 @@
         )
 
     async def _exchange(
-        self, ingress: int, codec: RespVoice, data: bytes, tried: Try
+        self, ingress: int, codec: RespVoice, data: bytes, recorded_try: Try
     ) -> ClientOutcome | None:
-        """Returns the outcome, or None where the connection ended without one."""
+        """Returns the outcome, or None if the connection ended without a response."""
         clock = self.world.clock
         address = self.world.ingresses[ingress].address
         reader, writer = await asyncio.open_connection(*address)
-        tried.sent = clock()
-        self.world.record.tries.append(tried)
+        recorded_try.sent = clock()
+        self.world.record.tries.append(recorded_try)
         writer.write(data)
         while received := await reader.read(65536):
-            heard = codec.hear(received)
-            if heard is not None:
+            reply = codec.hear(received)
+            if reply is not None:
                 writer.close()
-                tried.answered = clock()
-                tried.kind = heard.kind
-                tried.value = heard.value
-                return ClientOutcome(heard.kind, heard.value, heard.wait)
+                recorded_try.answered = clock()
+                recorded_try.kind = reply.kind
+                recorded_try.value = reply.value
+                return ClientOutcome(reply.kind, reply.value, reply.wait)
         return None
 
     async def submit_until_final(
         self, ingress: int, key: str, seconds: float = 4.0
     ) -> ClientOutcome:
-        """Retries for as long as attempts are rejected or broken, or until the time is up."""
+        """Retries while attempts are rejected or broken, for at most `seconds`."""
         end = time.monotonic() + seconds
         while True:
             outcome = await self.submit(ingress, key)
@@ -166,27 +166,27 @@
             await asyncio.sleep(max(0.05, outcome.retry_after))
 
     def arrivals(self, key: str) -> list[Arrival]:
-        """Returns what backends recorded of a submission."""
+        """Returns the requests of a submission that backends recorded."""
         return [arrival for arrival in self.world.record.arrivals if arrival.key == key]
 
     def effects(self, key: str) -> int:
-        """Returns how often a submission took effect."""
+        """Returns the number of times that a submission took effect."""
         return sum(arrival.effect for arrival in self.arrivals(key))
 
     def responses(self, key: str) -> set[bytes]:
-        """Returns the true responses to a submission."""
+        """Returns the responses that backends gave to a submission."""
         return {arrival.value for arrival in self.arrivals(key) if arrival.value}
 
     def slow_down(self, factor: float) -> None:
-        """Makes the tested submissions alone take so much longer, so that no other waits."""
+        """Multiplies the work time of only these clients' submissions, so that no other waits."""
         for server in self.world.servers:
             server.work = partial(_work_time, server, factor)  # type: ignore[method-assign]
 
-    async def wait_until(self, holds: Callable[[], bool], otherwise: str) -> None:
-        """Waits for a condition; fails with the text `otherwise` at the timeout."""
+    async def wait_until(self, condition: Callable[[], bool], timeout_message: str) -> None:
+        """Waits for a condition; fails with `timeout_message` after `EVENT_TIMEOUT_S`."""
         end = time.monotonic() + EVENT_TIMEOUT_S
-        while not holds():
-            assert time.monotonic() < end, otherwise
+        while not condition():
+            assert time.monotonic() < end, timeout_message
             await asyncio.sleep(0.005)
 
     async def handover_counts(self, number: int) -> dict[str, Any]:
@@ -195,16 +195,16 @@
         return counts
 
     async def wait_for_counts(
-        self, numbers: set[int], holds: Callable[[dict[str, Any]], bool], otherwise: str
+        self, numbers: set[int], condition: Callable[[dict[str, Any]], bool], timeout_message: str
     ) -> None:
-        """Waits until a condition holds for the counts of all these instances."""
+        """Waits until a condition condition for the counts of all these instances."""
         end = time.monotonic() + EVENT_TIMEOUT_S
         while time.monotonic() < end:
             counts = [await self.handover_counts(number) for number in sorted(numbers)]
-            if all(map(holds, counts)):
+            if all(map(condition, counts)):
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError(f"{otherwise}: {counts}")
+        raise AssertionError(f"{timeout_message}: {counts}")
 
     async def wait_until_complete(self) -> None:
         """Waits until all instances are connected and no replica is recovering."""
@@ -213,19 +213,21 @@
         await self.wait_for_counts(
             everyone,
             lambda counts: counts["whole"] and counts["there"] == others,
-            "not complete",
+            "the fleet did not recover",
         )
 
-    async def wait_until_forwarded(self, owner: int, key: str, earlier: int = 0) -> None:
-        """Waits until a backend got a submission more than `earlier` times, and its replicas know.
+    async def wait_until_forwarded(self, owner: int, key: str, previous_arrivals: int = 0) -> None:
+        """Waits until backends got a submission more than `previous_arrivals` times.
 
-        The owner tells them before it reports the counts that are asked for here.
+        Then also waits for the owner to report its counts: it notifies the replicas before that.
         """
-        await self.wait_until(lambda: len(self.arrivals(key)) > earlier, "it was not forwarded")
+        await self.wait_until(
+            lambda: len(self.arrivals(key)) > previous_arrivals, "the submission was not forwarded"
+        )
         await self.handover_counts(owner)
 
     async def verdict_counts(self, numbers: set[int] | None = None) -> Counter[str]:
-        """Returns the verdicts summed over these instances, or over all."""
+        """Returns the verdict counts, summed over these instances or over all."""
         if numbers is None:
             numbers = set(range(len(self.world.ingresses)))
         total = Counter[str]()
@@ -234,7 +236,7 @@
         return total
 
     def kill(self, number: int) -> None:
-        """Kills an instance, paused or not."""
+        """Kills an instance, even if it is paused."""
         ingress = self.world.ingresses[number]
         door = self.world.customers.doors[number]
         door.until = self.world.clock() + 0.5
@@ -242,7 +244,7 @@
         ingress.signal(signal.SIGKILL, "killed")
 
     def pause(self, number: int) -> None:
-        """Stops an instance's process."""
+        """Pauses an instance's process."""
         ingress = self.world.ingresses[number]
         assert ingress.life is not None
         ingress.life.pauses.append((self.world.clock(), float("inf")))
@@ -256,7 +258,7 @@
         ingress.life.pauses[-1] = ingress.life.pauses[-1][0], self.world.clock() + 0.5
 
     async def restart(self, number: int) -> None:
-        """Starts an instance again after it was killed."""
+        """Starts a killed instance again."""
         process = self.world.ingresses[number].process
         assert process is not None
         await process.wait()
@@ -285,9 +287,9 @@
             await crew.open()
             await world.open()
             fleet = HandoverFleet(world, crew)
-            playing = asyncio.create_task(world.play())
+            running_world = asyncio.create_task(world.play())
             await case(fleet)
-            await playing
+            await running_world
         finally:
             await world.close()
             crew.close()
@@ -305,22 +307,23 @@
     rate: float = 10.0,
     settings: dict[str, float | bool] | None = None,
 ) -> tuple[Verdict, Counter[str]]:
-    """Runs a case beside usual clients.
+    """Runs a case while the testbed's background clients send requests.
 
     Args:
-        case: What is done with the fleet.
-        ingresses: How many instances there are.
-        seconds: For which the usual clients send.
-        commands: The command of an instance, by its number, in place of the usual one.
+        case: Coroutine function that acts on the fleet.
+        ingresses: Number of instances.
+        seconds: Time for which the background clients send.
+        commands: Command of an instance by its number, instead of the default command.
         stores: Whether instances keep their records in stores.
-        breaches: Whether the case may break the rules.
-        rate: Requests of the usual clients, a second.
-        settings: Of [handover], in place of the usual ones.
+        breaches: Whether the case may violate invariants.
+        rate: Requests of the background clients per second.
+        settings: Settings of [handover] that override the defaults.
 
     Returns:
-        The invariant checker's verdict, and how often each submission of the case took effect.
+        The invariant checker's verdict, and the number of effects of each submission of the case.
     """
-    # Cores for all submissions that a case slows down at one backend: none that comes later waits.
+    # Enough cores for all submissions that a case slows down at one backend, so that later ones
+    # do not wait.
     deployment = Deployment(ingresses=ingresses, servers=4, rate=rate, cores=8, busy=0.05)
     all_settings: dict[str, float | bool] = {"forget_s": 8.0, "bound_ms": 400, **(settings or {})}
     running = _run_case(case, deployment, seconds, commands or {}, stores, all_settings)
--- a/tests/test_handover_settings.py
+++ b/tests/test_handover_settings.py
@@ -1,4 +1,4 @@
-"""[handover] in the operator's file, and the command that shows a store."""
+"""[handover] in the operator's file, and the command that shows the records in a store."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from ingress.storage.write_ahead_log import Store
 
 PEERS = '{ "a" = "127.0.0.1:7200", "b" = "127.0.0.2:7200", "c" = "127.0.0.3:7200" }'
-GOOD = {"address": '"127.0.0.1:7200"', "peers": PEERS, "keys": '"keys"'}
+VALID = {"address": '"127.0.0.1:7200"', "peers": PEERS, "keys": '"keys"'}
 
 
 def load(folder: Path, changes: Mapping[str, str | None]) -> Handover | None:
-    table = {key: value for key, value in {**GOOD, **changes}.items() if value is not None}
+    table = {key: value for key, value in {**VALID, **changes}.items() if value is not None}
     path = folder / "ingress.toml"
     path.write_text(
         "[handover]\n" + "".join(f"{k} = {v}\n" for k, v in table.items()), encoding="utf-8"
@@ -32,15 +32,17 @@
     return read_operator_config(path, frozenset({"resp2-v1"}), frozenset({"resp2-v1"})).handover
 
 
-def test_reads_good_settings(tmp_path: Path) -> None:
-    found = load(tmp_path, {"store": '"held"', "bound_ms": "20", "copies": "1", "repeats": "false"})
-    assert found is not None
-    assert found.storage_dir == tmp_path / "held"
-    assert found.max_delay == 0.02
-    assert found.copies == 1
-    assert not found.resend
-    assert found.peers["b"] == ("127.0.0.2", 7200)
-    assert "0011" not in repr(found)
+def test_reads_valid_settings(tmp_path: Path) -> None:
+    settings = load(
+        tmp_path, {"store": '"held"', "bound_ms": "20", "copies": "1", "repeats": "false"}
+    )
+    assert settings is not None
+    assert settings.storage_dir == tmp_path / "held"
+    assert settings.max_delay == 0.02
+    assert settings.copies == 1
+    assert not settings.resend
+    assert settings.peers["b"] == ("127.0.0.2", 7200)
+    assert "0011" not in repr(settings)
 
 
 @pytest.mark.parametrize(
@@ -67,13 +69,13 @@
         ({"speed": "3"}, "handover: speed: not known; allowed are address"),
     ],
 )
-def test_rejects_bad_settings_and_names_file_key_and_cause(
+def test_rejects_invalid_settings_and_names_file_key_and_cause(
     tmp_path: Path, changes: Mapping[str, str | None], words: str
 ) -> None:
-    with pytest.raises(OperatorConfigError) as caught:
+    with pytest.raises(OperatorConfigError) as error:
         load(tmp_path, changes)
-    assert str(tmp_path / "ingress.toml") in str(caught.value)
-    assert words in str(caught.value)
+    assert str(tmp_path / "ingress.toml") in str(error.value)
+    assert words in str(error.value)
 
 
 def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -86,7 +88,7 @@
     )
 
 
-def test_show_and_check_report_what_a_store_holds_and_whether_it_is_complete(
+def test_show_and_check_report_records_and_completeness_of_a_store(
     tmp_path: Path,
 ) -> None:
     folder = tmp_path / "held"
@@ -95,10 +97,10 @@
     store.put(record_codec.INCARNATION_KEY, (7).to_bytes(8, "big"))
     store.put(b"n" * 16, record_codec.encode(Record(Phase.SENT, holder, b"d" * 8, 99.0, 100.0)))
     store.commit()
-    shown = run_command("show", "--owner", "ingress-1", str(folder))
-    assert shown.returncode == 0
-    assert "1 sent" in shown.stdout
-    assert "ingress-1 7/3" in shown.stdout
+    result = run_command("show", "--owner", "ingress-1", str(folder))
+    assert result.returncode == 0
+    assert "1 sent" in result.stdout
+    assert "ingress-1 7/3" in result.stdout
     summary = json.loads(run_command("check", "--owner", "ingress-1", str(folder), "--json").stdout)
     assert summary["whole"]
     assert summary["position"] == 2
@@ -116,8 +118,8 @@
     assert "torn at byte" in torn.stdout
 
 
-def test_a_recovered_record_is_too_old_to_be_resent() -> None:
-    """A clock that was set back between two processes would make it young."""
+def test_recovered_record_is_too_old_to_be_resent() -> None:
+    """A clock set back between two processes would otherwise make the record look recent."""
     replica = Replica()
     entries = {
         b"n" * 16: record_codec.encode(Record(Phase.SENT, Grant("a", 1, 1), b"d", 103.0, 104.0)),
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections among instances, on real sockets: nothing forged, repeated or malformed passes."""
+"""Connections between instances: forged, repeated and malformed frames are rejected."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
         return address
 
 
-class Pair:
-    """Two connected instances, what each received, and how their connections changed."""
+class ConnectedPair:
+    """Two connected instances, their received messages and their connection changes."""
 
     def __init__(self, keys: dict[int, bytes]) -> None:
         self.received: dict[str, list[tuple[str, Message]]] = {"a": [], "b": []}
@@ -53,32 +53,34 @@
                 self.addresses,
                 keys if name == "b" else KEYS,
                 1,
-                lambda sender, message, me=name: self.received[me].append((sender, message)),  # type: ignore[misc]
-                lambda peer, up, me=name: self.changes.append((me, peer, up)),  # type: ignore[misc]
+                lambda sender, message, owner=name: self.received[owner].append((sender, message)),  # type: ignore[misc]
+                lambda peer, up, owner=name: self.changes.append((owner, peer, up)),  # type: ignore[misc]
             )
             for name in "ab"
         }
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         for _ in range(1000):
-            if holds():
+            if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("it did not come about within 10 s")
+        raise AssertionError("the condition did not hold within 10 s")
 
     async def open(self) -> None:
         for connections in self.connections.values():
             await connections.open()
-        await self.until(lambda: len(self.changes) >= 2)
+        await self.wait_until(lambda: len(self.changes) >= 2)
 
     def close(self) -> None:
         for connections in self.connections.values():
             connections.close()
 
 
-def run_case(case: Callable[[Pair], Awaitable[None]], keys: dict[int, bytes] | None = None) -> Pair:
-    async def run() -> Pair:
-        pair = Pair(keys or KEYS)
+def run_case(
+    case: Callable[[ConnectedPair], Awaitable[None]], keys: dict[int, bytes] | None = None
+) -> ConnectedPair:
+    async def run() -> ConnectedPair:
+        pair = ConnectedPair(keys or KEYS)
         await pair.open()
         try:
             await case(pair)
@@ -90,12 +92,12 @@
 
 
 def test_delivers_messages_in_order_over_several_frames() -> None:
-    async def case(pair: Pair) -> None:
+    async def case(pair: ConnectedPair) -> None:
         for number in range(1, 2001):
             pair.connections["a"].send(
                 "b", ReplicaRequest(RequestKind.OPEN, NAME, 1, number, b"", b"c" * 700)
             )
-        await pair.until(lambda: len(pair.received["b"]) == 2000)
+        await pair.wait_until(lambda: len(pair.received["b"]) == 2000)
         operations = [
             message.operation
             for _, message in pair.received["b"]
@@ -108,16 +110,16 @@
 
 
 def test_rejects_a_frame_sealed_with_another_key() -> None:
-    async def case(pair: Pair) -> None:
+    async def case(pair: ConnectedPair) -> None:
         pair.connections["b"].send("a", HEARTBEAT)
-        await pair.until(lambda: pair.connections["a"].rejected > 0)
+        await pair.wait_until(lambda: pair.connections["a"].rejected > 0)
         assert not pair.received["a"]
 
     run_case(case, OTHER_KEYS)
 
 
-def test_accepts_a_frame_only_once_and_only_on_its_connection() -> None:
-    async def case(pair: Pair) -> None:
+def test_rejects_a_repeated_frame_and_a_frame_of_another_connection() -> None:
+    async def case(pair: ConnectedPair) -> None:
         async def send_frames(count: int, acceptor_nonce: bytes) -> None:
             reader, writer = await asyncio.open_connection(*pair.addresses["a"])
             greeting = await reader.readexactly(len(MAGIC) + 16)
@@ -125,7 +127,7 @@
             sealer = FrameSealer(KEYS, 1, acceptor_nonce or greeting[len(MAGIC) :], NONCE)
             frame = sealer.seal(b"\x91" + msgspec.msgpack.encode(HEARTBEAT))
             writer.write(frame * count)
-            assert await reader.read() == b""  # the connection was ended
+            assert await reader.read() == b""  # the connection was closed
             writer.close()
 
         before = pair.connections["a"].rejected
@@ -148,8 +150,8 @@
         MAGIC + NONCE + b"\x01b" + b"\x05\x00\x00\x00\x01abcde",
     ],
 )
-def test_ends_a_connection_of_another_protocol(data: bytes) -> None:
-    async def case(pair: Pair) -> None:
+def test_closes_a_connection_of_another_protocol(data: bytes) -> None:
+    async def case(pair: ConnectedPair) -> None:
         reader, writer = await asyncio.open_connection(*pair.addresses["a"])
         writer.write(data)
         async with asyncio.timeout(5):
@@ -162,11 +164,11 @@
 
 
 def test_ignores_messages_and_fields_of_a_later_version() -> None:
-    longer = msgspec.msgpack.encode(
+    with_extra_field = msgspec.msgpack.encode(
         [*msgspec.msgpack.decode(msgspec.msgpack.encode(HEARTBEAT)), "new"]
     )
-    unknown = msgspec.msgpack.encode([99, b"a later message"])
-    body = b"\x93" + unknown + longer + msgspec.msgpack.encode(HEARTBEAT)
+    unknown_type = msgspec.msgpack.encode([99, b"a later message"])
+    body = b"\x93" + unknown_type + with_extra_field + msgspec.msgpack.encode(HEARTBEAT)
     frame = FrameSealer(KEYS, 1, b"a" * 16, b"b" * 16).seal(body)
     assert FrameSealer(KEYS, 1, b"a" * 16, b"b" * 16).open(frame[4], frame[5:]) == [
         HEARTBEAT,
@@ -174,12 +176,12 @@
     ]
 
 
-def test_aborts_the_connection_to_a_peer_that_does_not_read(
+def test_aborts_the_connection_if_the_peer_does_not_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(peer_connections, "MAX_UNSENT_BYTES", 1 << 20)
 
-    async def case(pair: Pair) -> None:
+    async def case(pair: ConnectedPair) -> None:
         for connection in pair.connections["b"].inbound:
             assert connection.transport is not None
             connection.transport.pause_reading()
@@ -188,14 +190,14 @@
                 "b", ReplicaRequest(RequestKind.OPEN, NAME, 1, 1, b"", b"c" * 60_000)
             )
             await asyncio.sleep(0)
-        await pair.until(lambda: ("a", "b", False) in pair.changes)
+        await pair.wait_until(lambda: ("a", "b", False) in pair.changes)
 
     run_case(case)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_a_sealed_body_is_valid_messages_or_malformed(body: bytes) -> None:
+def test_sealed_body_decodes_to_valid_messages_or_is_rejected(body: bytes) -> None:
     frame = FrameSealer(KEYS, 1, b"a" * 16, b"b" * 16).seal(body)
     try:
         messages = FrameSealer(KEYS, 1, b"a" * 16, b"b" * 16).open(frame[4], frame[5:])
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Handover among processes: kills, pauses, partitions, restarts, each checked to have occurred."""
+"""Handover between processes: kills, pauses, partitions and restarts, each verified to occur."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 STEPS = ["opened", "asked", "granted", "written", "answered", "told"]
 
 
-async def submit_and_lose(fleet: HandoverFleet, owner: int, key: str) -> None:
+async def submit_until_the_owner_dies(fleet: HandoverFleet, owner: int, key: str) -> None:
     assert (await fleet.submit(owner, key)).kind == "broken"
     process = fleet.world.ingresses[owner].process
     life = fleet.world.ingresses[owner].life
     assert process is not None
     assert life is not None
-    life.down = min(life.down, fleet.world.clock())  # the loop may be told of the end later
+    life.down = min(life.down, fleet.world.clock())  # the event loop may be notified later
     await process.wait()
 
 
-def test_killed_at_each_step_of_a_submission() -> None:
-    """One owner for each step dies there by its own program."""
+def test_submission_takes_effect_once_if_its_owner_is_killed_at_any_step() -> None:
+    """For each step, one owner kills itself at this step."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         for owner, step in enumerate(STEPS):
             fleet.world.ingresses[owner].life.how = "killed"  # type: ignore[union-attr]
             key = fleet.new_key()
-            await submit_and_lose(fleet, owner, key)
+            await submit_until_the_owner_dies(fleet, owner, key)
             other = 6 + owner % 2
             if step in ("asked", "granted", "written"):
-                # It may yet write: nobody sends it until its process is known to be gone.
+                # The owner may still write it: nobody resends it until the owner has restarted.
                 sent = 1 if step == "written" else 0
-                # What had left a process that died arrives a moment later.
+                # Data that the process sent before it died arrives a moment later.
                 await fleet.wait_until(
                     lambda key=key, sent=sent: len(fleet.arrivals(key)) >= sent,  # type: ignore[misc]
-                    "it was not forwarded",
+                    "the submission was not forwarded",
                 )
                 assert len(fleet.arrivals(key)) == sent, step
                 outcome = await fleet.submit(other, key)
@@ -84,17 +84,22 @@
 
 
 @pytest.mark.parametrize("fault", ["none", "no_fence"])
-def test_paused_between_check_and_write(fault: str) -> None:
-    """For longer than backends remember keys: it takes effect once; without a fence, twice."""
+def test_pause_between_check_and_write_has_a_second_effect_only_without_a_fence(fault: str) -> None:
+    """The owner is paused for longer than backends remember keys.
+
+    The submission takes effect once, or twice if replicas grant a held record of a suspect holder.
+    """
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         key = fleet.new_key_not_replicated_by(0)
         first = asyncio.create_task(fleet.submit(0, key, wait=8.0))
-        frozen = fleet.world.ingresses[0]
-        assert frozen.life is not None
-        frozen.life.pauses.append((fleet.world.clock(), float("inf")))
-        await fleet.wait_for_counts({1, 2, 3}, lambda s: s["there"] < 4, "it is not paused")
+        paused_instance = fleet.world.ingresses[0]
+        assert paused_instance.life is not None
+        paused_instance.life.pauses.append((fleet.world.clock(), float("inf")))
+        await fleet.wait_for_counts(
+            {1, 2, 3}, lambda counts: counts["there"] < 4, "the instance is not paused"
+        )
         outcome = await fleet.submit(1, key)
         assert outcome.kind == ("refused" if fault == "none" else "served"), outcome
         start = fleet.world.clock()
@@ -105,17 +110,19 @@
             assert not fleet.arrivals(key)
         fleet.resume(0)
         await first
-        await fleet.wait_until(lambda: bool(fleet.arrivals(key)), "it was never written")
+        await fleet.wait_until(
+            lambda: bool(fleet.arrivals(key)), "the submission was never written"
+        )
 
     commands = {0: f"{FAULTY} stops:writing", **dict.fromkeys(range(1, 5), f"{FAULTY} {fault}")}
     _, effects = run_case(case, seconds=9.0, commands=commands, breaches=fault != "none")
-    # What it writes at last may find its connection given up, and not run.
+    # Its late write may arrive on an abandoned connection and not run.
     assert max(effects.values()) <= 1 if fault == "none" else max(effects.values()) == 2, effects
 
 
-@pytest.mark.parametrize("stopped", [0.3, 0.7, 5.0])
-def test_owner_paused_while_a_backend_works(stopped: float) -> None:
-    """Below, near and beyond `suspect_after`: retries at three instances get the outcome."""
+@pytest.mark.parametrize("pause_seconds", [0.3, 0.7, 5.0])
+def test_retries_get_the_outcome_while_the_owner_is_paused(pause_seconds: float) -> None:
+    """The pause is shorter than `suspect_after`, close to it, or longer; three instances retry."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
@@ -127,18 +134,18 @@
         start = fleet.world.clock()
         fleet.slow_down(1.0)
         repeats = asyncio.gather(*(fleet.submit_until_final(n, key, 3.0) for n in (1, 2, 3)))
-        await fleet.wait_until(lambda: fleet.world.clock() > start + stopped, "")
+        await fleet.wait_until(lambda: fleet.world.clock() > start + pause_seconds, "")
         fleet.resume(0)
         for outcome in await repeats:
             assert outcome.kind == "served", outcome
             assert outcome.value in fleet.responses(key), outcome
         assert (await first).kind in ("served", "failed")
 
-    run_case(case, seconds=2.0 + stopped)
+    run_case(case, seconds=2.0 + pause_seconds)
 
 
-def test_gives_up_a_resend_paused_before_its_write() -> None:
-    """The successor is paused after its decision for longer than the deduplication window."""
+def test_resend_paused_beyond_the_deduplication_window_is_not_written() -> None:
+    """The successor pauses between its decision and its write, longer than the window."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
@@ -151,10 +158,12 @@
         fleet.slow_down(1.0)
         sent = len(fleet.arrivals(key))
         repeat = asyncio.create_task(fleet.submit_until_final(1, key, 6.0))
-        stopped = fleet.world.ingresses[1]
-        assert stopped.life is not None
-        stopped.life.pauses.append((fleet.world.clock(), float("inf")))
-        await fleet.wait_for_counts({2, 3, 4}, lambda s: s["there"] == 2, "it is not paused")
+        paused_instance = fleet.world.ingresses[1]
+        assert paused_instance.life is not None
+        paused_instance.life.pauses.append((fleet.world.clock(), float("inf")))
+        await fleet.wait_for_counts(
+            {2, 3, 4}, lambda counts: counts["there"] == 2, "the instance is not paused"
+        )
         start = fleet.world.clock()
         await fleet.wait_until(lambda: fleet.world.clock() > start + 4.5, "")
         fleet.resume(1)
@@ -167,7 +176,7 @@
     )
 
 
-def test_single_replica_returns_the_outcome_and_resend_off_fails() -> None:
+def test_one_replica_hands_over_and_disabled_resend_fails_the_submission() -> None:
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         fleet.slow_down(20.0)
@@ -187,76 +196,81 @@
     assert kinds == ["served", "failed"]
 
 
-def test_owners_and_successors_lost_one_after_another() -> None:
-    """Three owners in a second; then an owner with all replicas of its submission."""
+def test_submission_takes_effect_once_if_owners_or_all_replicas_are_lost() -> None:
+    """Kills three owners within a second, then an owner with all replicas of its submission."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         fleet.slow_down(60.0)
         key = fleet.new_key_not_replicated_by(0, 1, 2)
-        tries = [asyncio.create_task(fleet.submit(0, key))]
+        attempts = [asyncio.create_task(fleet.submit(0, key))]
         for owner in range(3):
             await fleet.wait_until_forwarded(owner, key, owner)
             fleet.kill(owner)
             if owner < 2:
-                tries.append(asyncio.create_task(fleet.submit_until_final(owner + 1, key)))
+                attempts.append(asyncio.create_task(fleet.submit_until_final(owner + 1, key)))
         fleet.slow_down(1.0)
         outcome = await fleet.submit_until_final(3, key)
         assert outcome.kind == "served", outcome
         assert outcome.value in fleet.responses(key), outcome
         assert fleet.effects(key) == 1
-        assert len({x.ingress for x in fleet.arrivals(key)}) >= 4
-        for task in tries:
+        assert len({arrival.ingress for arrival in fleet.arrivals(key)}) >= 4
+        for task in attempts:
             task.cancel()
 
         fleet.slow_down(60.0)
         key = fleet.new_key_not_replicated_by(0, 1, 2, 3)
         first = asyncio.create_task(fleet.submit(3, key))
         await fleet.wait_until_forwarded(3, key)
-        lost = fleet.replicas_of(key)
-        for number in (3, *lost):
+        replicas = fleet.replicas_of(key)
+        for number in (3, *replicas):
             fleet.kill(number)
         fleet.slow_down(1.0)
         assert (await first).kind == "broken"
-        # All that knew it are gone: its retry is a first attempt, which backends deduplicate.
-        [left] = sorted({4, 5, 6, 7} - set(lost))[:1]
-        outcome = await fleet.submit_until_final(left, key)
+        # No instance has its record any more: the retry is a first attempt, which backends
+        # deduplicate.
+        [successor] = sorted({4, 5, 6, 7} - set(replicas))[:1]
+        outcome = await fleet.submit_until_final(successor, key)
         assert outcome.kind == "served", outcome
         assert fleet.effects(key) == 1, outcome
-        assert (await fleet.verdict_counts({left}))["unprotected"] >= 1
+        assert (await fleet.verdict_counts({successor}))["unprotected"] >= 1
 
     run_case(case, ingresses=8, seconds=5.0, settings={"take_per_s": 0})
 
 
-def test_partitions_slow_replicas_and_one_way_connections() -> None:
+def test_submission_takes_effect_once_under_partitions_and_slow_replicas() -> None:
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
-        # One way only: what 0 says comes to nobody, what others say comes to it.
+        # One way only: messages of instance 0 are lost, messages to it arrive.
         fleet.crew.part({0}, {1, 2, 3, 4}, both=False)
-        await fleet.wait_for_counts({1, 2, 3, 4}, lambda s: s["there"] == 3, "it is not suspect")
+        await fleet.wait_for_counts(
+            {1, 2, 3, 4}, lambda counts: counts["there"] == 3, "instance 0 is not suspect"
+        )
         key = fleet.new_key_not_replicated_by(0)
         outcome = await fleet.submit(0, key)
         assert outcome.kind == "served"
         assert (await fleet.verdict_counts({0}))["unprotected"] >= 1
         fleet.crew.mend()
         await fleet.wait_until_complete()
-        # Each half has some of the copies; the submission is out at a server that does not answer.
+        # Each side has some of the replicas; the submission is in flight at a slow backend.
         fleet.slow_down(30.0)
         key = fleet.new_key()
         first = asyncio.create_task(fleet.submit(0, key, wait=3.0))
         await fleet.wait_until_forwarded(0, key)
         fleet.crew.part({0, 1}, {2, 3, 4})
-        await fleet.wait_for_counts({0, 1}, lambda s: s["there"] == 1, "not partitioned")
-        await fleet.wait_for_counts({2, 3, 4}, lambda s: s["there"] == 2, "not partitioned")
+        await fleet.wait_for_counts({0, 1}, lambda counts: counts["there"] == 1, "not partitioned")
+        await fleet.wait_for_counts(
+            {2, 3, 4}, lambda counts: counts["there"] == 2, "not partitioned"
+        )
         fleet.slow_down(1.0)
-        halves = await asyncio.gather(
+        outcomes = await asyncio.gather(
             fleet.submit_until_final(1, key, 2.0), fleet.submit_until_final(2, key, 2.0), first
         )
-        assert any(outcome.kind == "served" for outcome in halves), halves
+        assert any(outcome.kind == "served" for outcome in outcomes), outcomes
         assert fleet.effects(key) == 1
         fleet.crew.mend()
         await fleet.wait_until_complete()
-        # Copies that are acknowledged later than a submission waits for them.
+        # Replicas that reply later than `max_delay`.
         before = await fleet.verdict_counts()
         fleet.crew.slow(600.0)
         key = fleet.new_key_not_replicated_by(0)
@@ -266,8 +280,8 @@
         start = fleet.world.clock()
         await fleet.wait_until(
             lambda: fleet.world.clock() > start + 0.8, ""
-        )  # what was delayed is still on its way
-        # The same key with another body: neither sent nor answered with what is not its own.
+        )  # until the delayed messages have arrived
+        # The same key with another body: neither sent nor answered with the stored response.
         key = fleet.new_key()
         assert (await fleet.submit(1, key)).kind == "served"
         sent = len(fleet.arrivals(key))
@@ -278,7 +292,7 @@
     run_case(case, seconds=9.0)
 
 
-def test_rolling_restart_under_load() -> None:
+def test_rolling_restart_under_load_serves_submissions_and_recovers_records() -> None:
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         done: list[ClientOutcome] = []
@@ -286,21 +300,21 @@
         async def submit(ingress: int) -> None:
             done.append(await fleet.submit_until_final(ingress, fleet.new_key()))
 
-        tasks = []
+        clients = []
         for number in range(5):
-            tasks += [asyncio.create_task(submit(n)) for n in range(5) for _ in range(4)]
+            clients += [asyncio.create_task(submit(n)) for n in range(5) for _ in range(4)]
             await fleet.world._strike_ingress("term", fleet.world.ingresses[number], 0.0)
             await fleet.wait_until_complete()
-        await asyncio.gather(*tasks)
+        await asyncio.gather(*clients)
         assert sum(outcome.kind == "served" for outcome in done) >= 95, done
-        learnt = [(await fleet.handover_counts(n))["verdicts"]["learnt"] for n in range(5)]
-        assert all(learnt), learnt
+        learnt_counts = [(await fleet.handover_counts(n))["verdicts"]["learnt"] for n in range(5)]
+        assert all(learnt_counts), learnt_counts
 
     run_case(case, seconds=10.0)
 
 
-def test_clocks_five_seconds_off_and_a_lost_counter() -> None:
-    """Messages carry ages, not times; grants do not rest on the counter."""
+def test_handover_tolerates_clocks_five_seconds_off_and_a_lost_counter() -> None:
+    """Messages carry ages, not times; grants do not depend on the counter service."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
@@ -322,8 +336,8 @@
     run_case(case, seconds=4.0, commands={0: f"{FAULTY} ahead:5", 2: f"{FAULTY} ahead:-5"})
 
 
-def test_checker_names_a_stored_response_given_to_another_client() -> None:
-    """A seeded fault: one record for all keys."""
+def test_checker_reports_a_stored_response_sent_to_another_client() -> None:
+    """A deliberate fault: all keys share one record."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
@@ -337,7 +351,7 @@
         commands=dict.fromkeys(range(5), f"{FAULTY} anyones_answer"),
     )
 
-    def named(breach: Breach) -> bool:
+    def is_wrong_answer(breach: Breach) -> bool:
         return breach.rule == "answer" and "no grid server made" in breach.why
 
-    assert any(map(named, verdict.breaches)), [str(b) for b in verdict.breaches]
+    assert any(map(is_wrong_answer, verdict.breaches)), [str(b) for b in verdict.breaches]
--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The store on a disk that corrupts: what was committed is there, or its loss is detected."""
+"""The store on a corrupting disk: committed entries are kept, or their loss is detected."""
 
 from __future__ import annotations
 
@@ -26,7 +26,9 @@
     return store
 
 
-def test_reads_back_what_was_committed_to_a_real_folder(tmp_path: Path) -> None:
+def test_real_folder_returns_committed_entries_and_locks_out_a_second_process(
+    tmp_path: Path,
+) -> None:
     store = Store(OsFileSystem(tmp_path / "s"), "a")
     store.put(b"k", b"1")
     store.put(b"k", b"2")
@@ -38,25 +40,25 @@
         Store(OsFileSystem(tmp_path / "s"), "a")
     store.close()
     assert Store(OsFileSystem(tmp_path / "s"), "a").entries == {b"k": b"2"}
-    found = read_store(OsFileSystem(tmp_path / "s"), "a")
-    assert found.entries == {b"k": b"2"}
-    assert found.position == 4
-    assert not found.faults
-    assert found.store_id == store.store_id
+    contents = read_store(OsFileSystem(tmp_path / "s"), "a")
+    assert contents.entries == {b"k": b"2"}
+    assert contents.position == 4
+    assert not contents.faults
+    assert contents.store_id == store.store_id
 
 
-def test_a_crash_loses_only_what_was_not_committed() -> None:
+def test_crash_loses_only_uncommitted_changes() -> None:
     disk = CorruptingDisk()
     store = store_with_entries(disk)
     store.put(b"late", b"x")
-    damaged = disk.after_crash()
-    after = Store(damaged, "a")
-    assert after.position == 5
-    assert b"late" not in after.entries
-    assert after.store_id == store.store_id
-    after.put(b"new", b"y")
-    assert after.commit() == 6
-    assert Store(damaged.after_crash(), "a").entries == {
+    crashed_disk = disk.after_crash()
+    recovered = Store(crashed_disk, "a")
+    assert recovered.position == 5
+    assert b"late" not in recovered.entries
+    assert recovered.store_id == store.store_id
+    recovered.put(b"new", b"y")
+    assert recovered.commit() == 6
+    assert Store(crashed_disk.after_crash(), "a").entries == {
         b"k%d" % n: b"v%d" % n for n in range(5)
     } | {b"new": b"y"}
 
@@ -64,52 +66,52 @@
 @pytest.mark.parametrize(
     "corruption", ["lose_tail", "tear", "flip_bit", "stale_block", "misdirect"]
 )
-def test_detects_each_corruption_and_keeps_a_true_prefix(corruption: str) -> None:
-    """What is left is a prefix of what was committed, and its position says so."""
+def test_corruption_is_detected_and_a_committed_prefix_is_kept(corruption: str) -> None:
+    """The store keeps a prefix of the committed changes, and its position is that prefix's end."""
     disk = CorruptingDisk()
     store_with_entries(disk, 40)
-    damaged = disk.after_crash()
-    assert getattr(damaged, corruption)(), "nothing was corrupted"
-    found = read_store(damaged, "a")
-    assert found.position < 40
-    assert found.entries == {b"k%d" % n: b"v%d" % n for n in range(found.position)}
-    assert found.faults or corruption == "lose_tail"
-    # It goes on as the same store from there, over nothing.
-    store = Store(damaged, "a")
+    crashed_disk = disk.after_crash()
+    assert getattr(crashed_disk, corruption)(), "the disk was not corrupted"
+    contents = read_store(crashed_disk, "a")
+    assert contents.position < 40
+    assert contents.entries == {b"k%d" % n: b"v%d" % n for n in range(contents.position)}
+    assert contents.faults or corruption == "lose_tail"
+    # The store continues from there, and applies none of the lost changes.
+    store = Store(crashed_disk, "a")
     store.put(b"again", b"1")
-    assert store.commit() == found.position + 1
-    assert read_store(damaged, "a").entries[b"again"] == b"1"
+    assert store.commit() == contents.position + 1
+    assert read_store(crashed_disk, "a").entries[b"again"] == b"1"
 
 
-def test_a_disk_that_ignores_syncs_loses_only_the_tail() -> None:
+def test_disk_that_ignores_syncs_loses_only_the_latest_changes() -> None:
     disk = CorruptingDisk(ignores_syncs=True)
     store = store_with_entries(disk, 40)
-    assert store.durable_position == 40  # the disk said so
-    found = read_store(disk.after_crash(), "a")
-    assert found.position < 40
+    assert store.durable_position == 40  # as the disk reported
+    contents = read_store(disk.after_crash(), "a")
+    assert contents.position < 40
     assert disk.ignored_syncs > 0
-    assert found.entries == {b"k%d" % n: b"v%d" % n for n in range(found.position)}
+    assert contents.entries == {b"k%d" % n: b"v%d" % n for n in range(contents.position)}
 
 
 @pytest.mark.parametrize(
-    ("call", "number"), [("sync", errno.EIO), ("write", errno.ENOSPC), ("write", errno.EIO)]
+    ("call", "error_number"), [("sync", errno.EIO), ("write", errno.ENOSPC), ("write", errno.EIO)]
 )
-def test_accepts_no_change_after_a_failed_write(call: str, number: int) -> None:
+def test_rejects_changes_after_a_failed_write(call: str, error_number: int) -> None:
     disk = CorruptingDisk()
     store = store_with_entries(disk)
-    disk.errors[call] = number
+    disk.errors[call] = error_number
     store.put(b"lost", b"x")
     with pytest.raises(StoreFailedError):
         store.commit()
-    disk.errors.clear()  # a second try that succeeds would prove nothing
+    disk.errors.clear()  # a later sync that succeeds would not make the data durable
     assert store.durable_position == 5
-    for act in (store.commit, lambda: store.put(b"more", b"y")):
+    for change in (store.commit, lambda: store.put(b"more", b"y")):
         with pytest.raises(StoreFailedError):
-            act()
+            change()
     assert read_store(disk.after_crash(), "a").position == 5
 
 
-def test_does_not_start_on_a_disk_that_cannot_be_read() -> None:
+def test_does_not_start_on_an_unreadable_disk() -> None:
     disk = CorruptingDisk()
     store_with_entries(disk)
     disk.errors["read"] = errno.EIO
@@ -126,29 +128,29 @@
     with pytest.raises(CorruptStoreError, match="log-00000001: belongs to a, not to b"):
         Store(disk.after_crash(), "b")
     monkeypatch.setattr(store_reader, "FORMAT_VERSION", 2)
-    damaged = disk.after_crash()
+    crashed_disk = disk.after_crash()
     with pytest.raises(CorruptStoreError, match="log-00000001: version 1, this program reads 2"):
-        Store(damaged, "a")
-    assert damaged.durable == before
+        Store(crashed_disk, "a")
+    assert crashed_disk.durable == before
 
 
-def test_a_snapshot_replaces_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_snapshot_replaces_the_log(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(write_ahead_log, "MAX_LOG_BYTES", 2000)
     disk = CorruptingDisk()
     store = store_with_entries(disk, 200)
     names = disk.names()
     assert len(names) == 2, names
     assert names[1].startswith("snap-"), names
-    found = read_store(disk.after_crash(), "a")
-    assert found.position == 200
-    assert found.entries == store.entries
-    assert not found.faults
+    contents = read_store(disk.after_crash(), "a")
+    assert contents.position == 200
+    assert contents.entries == store.entries
+    assert not contents.faults
 
 
 class StoreStateMachine(RuleBasedStateMachine):
-    """Changes, commits, snapshots and crashes at any moment: no committed entry is lost.
+    """Changes, commits, snapshots and crashes in any order.
 
-    Nothing is there that was never put.
+    After each step the disk has exactly the committed entries.
     """
 
     def __init__(self) -> None:
@@ -189,7 +191,7 @@
         self.current = dict(self.committed)
 
     @invariant()
-    def readable(self) -> None:
+    def committed_entries_are_readable(self) -> None:
         assert read_store(self.disk.after_crash(), "a").entries == self.committed
 
 
