--- a/ingress/transport/__init__.py
+++ b/ingress/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients and to backends; the protocols spoken on them live in other packages."""
+"""Connections from clients and to backends; the protocol codecs are in other packages."""
--- a/ingress/transport/backend_connection.py
+++ b/ingress/transport/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: carries one request at a time and reports how it ended."""
+"""A connection to a backend; it carries one request at a time and reports the outcome."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 
 
 class Endpoint:
-    """The address of one backend, and the idle connections to it.
+    """The address of one backend and the idle connections to it.
 
     Attributes:
         address: Host and port.
-        started_at: When the backend's process started, as the endpoint list says.
-        incarnation: Counts the processes that have been behind the backend's name.
-        idle: The idle connections, the one used last at the end.
-        drain_deadline: From then on nothing new is written to the backend, if not None.
-        removed: Whether it is no longer in the endpoint list.
+        started_at: Start time of the backend's process according to the endpoint list.
+        incarnation: Number of the process behind the backend's name; it grows when the address
+            or the start time changes, or when a removed backend returns.
+        idle: The idle connections; the most recently used one is last.
+        drain_deadline: Time from which no new request is written to the backend; None if the
+            backend is not draining.
+        removed: Whether the backend has been removed from the endpoint list.
     """
 
     __slots__ = ("address", "drain_deadline", "idle", "incarnation", "removed", "started_at")
@@ -42,16 +44,17 @@
 class BackendConnection:
     """One connection to a backend.
 
-    It has the methods of an `asyncio.Protocol` without being one: a compiled class can't inherit
-    from an interpreted one.  One request is in flight at a time; to abandon it is to close the
-    connection.
+    The class has the methods of `asyncio.Protocol` but does not inherit from it, because a compiled
+    class can't inherit from an interpreted one.  One request is in flight at a time.  Closing the
+    connection is the only way to abandon it.
 
     Attributes:
-        incarnation: The endpoint's when the connection was opened.
-        attempt: The attempt in flight, else None.
-        buffered_bytes: What was received of an incomplete response.
-        idle_since: When it was released last, 0.0 before; seconds of the clock.
-        idle_duration: How long it was idle before the request in flight was written.
+        incarnation: The endpoint's incarnation when the connection was opened.
+        attempt: The attempt in flight, or None.
+        buffered_bytes: Number of bytes received of an incomplete response.
+        idle_since: Time of the last release, in seconds of the pool's clock; 0.0 before the first.
+        idle_duration: Seconds for which the connection was idle before the request in flight was
+            written.
     """
 
     __slots__ = (
@@ -89,14 +92,15 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Stores the transport of the new connection."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
 
     def data_received(self, data: bytes) -> None:
-        """Takes received bytes; a complete response ends the attempt in flight."""
+        """Decodes received bytes; a complete response ends the attempt in flight."""
         attempt = self.attempt
         if attempt is None:
-            self.close()  # nothing was asked: it could pass for the response to another request
+            # No request is in flight: the bytes could be mistaken for the next request's response.
+            self.close()
             return
         self.buffered_bytes += len(data)
         self.pool.buffered_bytes += len(data)
@@ -110,21 +114,21 @@
         if result is not None:
             self._complete(attempt, result)
         elif self.pool.buffered_bytes > self.pool.max_buffered_bytes:
-            # Large values that come on many connections at once could take all of the memory.
+            # Large values received on many connections at once could exhaust the memory.
             self._fail(attempt, "too many bytes of incomplete responses")
 
     def pause_writing(self) -> None:
-        """Does nothing: one request is in flight at a time, which bounds what is unwritten."""
+        """Does nothing: one request in flight at a time bounds the write buffer."""
 
     def resume_writing(self) -> None:
-        """Does nothing, as `pause_writing`."""
+        """Does nothing; see `pause_writing`."""
 
     def eof_received(self) -> None:
-        """The backend has ended its sending: nothing more can come."""
+        """Treats the end of the backend's sending as the end of the connection."""
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed; an attempt in flight ends with it."""
+        """Ends the attempt in flight, if any, because the connection is closed."""
         attempt = self.attempt
         if attempt is not None and exc is None:
             result = self._result_at_eof()
@@ -134,10 +138,10 @@
                 return
         self.attempt = None
         if attempt is not None and not self.buffered_bytes:
-            self.pool.idle_limit.learn_from_reset(self.idle_duration)
+            self.pool.idle_limit.lower_after_reset(self.idle_duration)
         self.close()
         if attempt is not None:
-            # Once any of the request was handed to the system, all of it may have come and run.
+            # Once any byte was written, the backend may have received the whole request and run it.
             self.pool.finish(attempt, Outcome.RESET)
 
     # The attempt in flight
@@ -153,7 +157,7 @@
         self.pool.finish(attempt, result.outcome, result.value, result.load_report)
 
     def _fail(self, attempt: Attempt, reason: str) -> None:
-        """Ends an attempt that may have run; nothing that follows here can be trusted."""
+        """Ends an attempt that may have run; later bytes on this connection can't be trusted."""
         self.pool.log_failure(attempt.backend, f"malformed response: {reason}")
         self.close()
         self.pool.finish(attempt, Outcome.ERROR)
@@ -163,7 +167,7 @@
         self.buffered_bytes = 0
 
     def _result_at_eof(self) -> AttemptResult | None:
-        """Returns the result, if the end of the connection completes the response."""
+        """Returns the result if the end of the connection completes the response, else None."""
         try:
             return self.protocol.receive_eof()
         except Exception as error:
@@ -174,30 +178,31 @@
     # The state of the connection
 
     def is_current(self) -> bool:
-        """Returns whether the process at the other side is the one that the endpoint list means.
+        """Returns whether the peer is the process that the endpoint list names.
 
-        What answers at a former address is another backend, and a connection to a process that is
-        gone may stay open and silent.
+        The peer at a former address is another backend, and a connection to a process that no
+        longer exists may stay open and silent.
         """
         return not self.endpoint.removed and self.incarnation == self.endpoint.incarnation
 
     def has_unread_input(self) -> bool:
-        """Returns whether bytes, or the end of the connection, wait in the system's buffer."""
+        """Returns whether the socket has unread bytes or an unread end of the connection."""
         return bool(self.poll.poll(0))
 
     def close(self) -> None:
-        """Closes the connection at once.
+        """Closes the connection immediately.
 
-        The event loop closes the socket at its next turn only, when the next attempt may have been
-        written already; the shutdown is sent now, so that two attempts are never in flight.
+        The event loop closes the socket only in its next iteration, by which time the next attempt
+        may have been written.  The socket is shut down here, so that a request never has two
+        attempts in flight.
         """
         if not self.is_open:
             return
         self.is_open = False
         self.attempt = None
         self._drop_buffered()
-        with contextlib.suppress(OSError):  # the backend was first
+        with contextlib.suppress(OSError):  # the backend has closed the connection already
             self.sock.shutdown(socket.SHUT_RDWR)
         if self.transport is not None:
             self.transport.abort()
-        self.pool.forget(self)
+        self.pool.remove(self)
--- a/ingress/transport/backend_pool.py
+++ b/ingress/transport/backend_pool.py
@@ -1,4 +1,4 @@
-"""A pool of connections to backends, the attempts made on them, and how each attempt ended."""
+"""A pool of connections to backends; it carries attempts and reports their outcomes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-# Of a drain's grace, from when the change was read, less the time for which the process may be held
-# up: the rest is for the agent, which may have had it earlier.
+# Share of a drain's grace period that is used, from when this process reads the change; the time
+# for which the process may be suspended is subtracted.  The rest of the period is a margin for the
+# agent, which may have received the change earlier.
 DRAIN_GRACE_FRACTION: Final = 0.5
-# From a response until its connection is used again: a duplicate of the response may come late.
+# Wait between a response and the next use of its connection: a duplicate response may arrive late.
 SETTLE_TIME_S: Final = 0.02
-TIMER_TOLERANCE_S: Final = 0.001  # by which a timer may fire early
-LOG_SAMPLING_INTERVAL: Final = 100  # of repeated events, one in this many is logged
+TIMER_TOLERANCE_S: Final = 0.001  # a timer may fire this much early
+LOG_SAMPLING_INTERVAL: Final = 100  # one in this many repeated events is logged
 LOCAL_RESOURCE_ERRORS: Final = (
     errno.EMFILE,
     errno.ENFILE,
@@ -35,32 +36,33 @@
     errno.ENOMEM,
     errno.EADDRNOTAVAIL,
 )
-SWEEP_INTERVAL_S: Final = 1.0  # between checks for connections that were idle for too long
+SWEEP_INTERVAL_S: Final = 1.0  # between checks for connections that have been idle too long
 
 
 class BackendPool:
-    """The connections to all backends of one protocol; it is made in a running event loop.
+    """The connections to all backends of one protocol.
 
-    It is an `Upstream`: each attempt that is started ends exactly once, with a call of `ended`.
+    The pool must be created in a running event loop.  It implements `Upstream`: each started
+    attempt ends exactly once, with a call of `on_attempt_end`.
 
     Args:
-        make_protocol: Makes the codec of one connection.
-        max_connections: Of all backends together.
-        max_buffered_bytes: Of incomplete responses on all connections together.
-        connect_timeout: Seconds for a connection to come up.
-        idle_time: Seconds after which a backend closes an idle connection.
-        grace: Seconds for which a draining backend still takes requests.
-        clock: The time in seconds.
-        ended: Called with the outcome of each attempt.
-        timers: For deadlines and short waits; the event loop's own by default.
+        make_protocol: Creates the codec of a new connection.
+        max_connections: Maximum number of connections to all backends together.
+        max_buffered_bytes: Maximum size of the incomplete responses on all connections together.
+        connect_timeout: Seconds in which a connection must be established.
+        backend_idle_timeout: Seconds after which a backend closes an idle connection.
+        grace_period: Seconds for which a draining backend still accepts requests.
+        clock: Returns the time in seconds.
+        on_attempt_end: Called with the outcome of each attempt.
+        timers: Timers for deadlines and short waits; the event loop by default.
 
     Attributes:
         endpoints: The backends by id.
-        connection_count: Connections that are open or being opened.
-        idle_limit: How long a connection may be idle.
-        buffered_bytes: What was received on all connections of incomplete responses.
-        failures: Counts failed attempts that are logged.
-        codec_faults: Counts exceptions that no codec may raise.
+        connection_count: Number of connections that are open or being opened.
+        idle_limit: Limit on how long a connection may be idle before it is used again.
+        buffered_bytes: Number of bytes received of incomplete responses, on all connections.
+        failures: Counts the failed attempts that are logged.
+        codec_faults: Counts the unexpected exceptions raised by codecs.
     """
 
     def __init__(
@@ -69,19 +71,19 @@
         max_connections: int,
         max_buffered_bytes: int,
         connect_timeout: float,
-        idle_time: float,
-        grace: float,
+        backend_idle_timeout: float,
+        grace_period: float,
         clock: Clock,
-        ended: AttemptEndHandler,
+        on_attempt_end: AttemptEndHandler,
         timers: Timers | None = None,
     ) -> None:
         self.make_protocol = make_protocol
         self.max_connections = max_connections
         self.connect_timeout = connect_timeout
-        self.drain_grace = max(0.0, grace * DRAIN_GRACE_FRACTION - MAX_HOLD_UP_S)
-        self.idle_limit = IdleLimit(idle_time)
+        self.drain_grace = max(0.0, grace_period * DRAIN_GRACE_FRACTION - MAX_HOLD_UP_S)
+        self.idle_limit = IdleLimit(backend_idle_timeout)
         self.clock = clock
-        self.report_outcome = ended
+        self.report_outcome = on_attempt_end
         self.loop = asyncio.get_running_loop()
         self.timers: Timers = timers or self.loop
         self.endpoints: dict[str, Endpoint] = {}
@@ -98,7 +100,7 @@
     def change(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
-        """Takes changed backends with their addresses by id, or the full list."""
+        """Applies changed backends with their addresses by id, or the full list."""
         now = self.clock()
         if full:
             for name in self.endpoints.keys() - addresses.keys():
@@ -138,13 +140,13 @@
             self._close_idle(endpoint)
 
     def _is_drained(self, endpoint: Endpoint) -> bool:
-        """Returns whether nothing new may be written to the backend."""
+        """Returns whether the drain deadline has passed, so that no request may be written."""
         return endpoint.drain_deadline is not None and self.clock() >= endpoint.drain_deadline
 
     # Attempts
 
     def start(self, attempt: Attempt) -> None:
-        """Starts an attempt on an idle connection, or a new one."""
+        """Starts an attempt on an idle connection or on a new one."""
         endpoint = self.endpoints.get(attempt.backend)
         time_left = attempt.deadline - attempt.sent_at
         if endpoint is None or time_left <= 0 or self._is_drained(endpoint):
@@ -154,9 +156,10 @@
         self._assign(endpoint, attempt, True)
 
     def _assign(self, endpoint: Endpoint, attempt: Attempt, may_wait: bool) -> None:
-        """Writes the attempt on an idle connection, or opens one.
+        """Writes the attempt on an idle connection, or opens a connection for it.
 
-        With `may_wait` it first waits for a connection that was released a moment ago.
+        With `may_wait`, the attempt first waits for a connection that was released less than
+        `SETTLE_TIME_S` ago, if there is one.
         """
         if attempt.ended:
             return
@@ -173,8 +176,8 @@
             self.timers.call_later(delay, self._assign, endpoint, attempt, False)
             return
         if self.connection_count >= self.max_connections and not self._close_oldest_idle():
-            # The limit is ours: the backend must not count as failed.
-            self.log_failure(attempt.backend, "the limit of connections is reached")
+            # The limit is local: the attempt must not count as a failure of the backend.
+            self.log_failure(attempt.backend, "connection limit reached")
             self.finish(attempt, Outcome.SUPERSEDED)
             return
         self.connection_count += 1
@@ -187,8 +190,8 @@
         now = self.clock()
         time_left = attempt.deadline - now
         if time_left <= 0 or now >= attempt.write_by:
-            # The process stalled and the timer is not served yet, or the connection came up late:
-            # a write could do harm now.
+            # The process stalled and the timer has not run yet, or the connection was established
+            # late.  A request written now could run after its deadline or deduplication window.
             self.release(connection)
             self.finish(attempt, Outcome.CONNECT_FAILED)
             return
@@ -208,25 +211,25 @@
     def _reject_unencodable(
         self, connection: BackendConnection, attempt: Attempt, error: Exception
     ) -> None:
-        """Fails a call that the protocol can't express: no other backend of it could take it."""
+        """Fails a call that the protocol can't express; none of its backends could serve it."""
         if not isinstance(error, ValueError) or isinstance(error, UnicodeError):
             self.log_codec_fault(error)
-        self.log_failure(attempt.backend, f"request not encoded: {error}")
+        self.log_failure(attempt.backend, f"request could not be encoded: {error}")
         self.release(connection)
         attempt.final_response = FAILED_RESPONSE
         self.finish(attempt, Outcome.SUPERSEDED)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Abandons the attempt: when this returns, nothing more of it can be sent."""
+        """Abandons the attempt; once this returns, no more bytes of it can be sent."""
         self._abandon(attempt, Outcome.CANCELLED)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Ends the attempt if it is not written yet; otherwise it runs on."""
+        """Ends the attempt if it has not been written yet; otherwise it continues."""
         if attempt.connection is None:
             self.finish(attempt, Outcome.SUPERSEDED)
 
     def _time_out(self, attempt: Attempt) -> None:
-        # What was never written never ran: the connection did not come up in time.
+        # An attempt without a connection was not written, so it did not run.
         self._abandon(attempt, Outcome.TIMEOUT if attempt.connection else Outcome.CONNECT_FAILED)
 
     def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -241,7 +244,7 @@
         value: bytes | None = None,
         load_report: Mapping[str, float] = NO_LOAD_REPORT,
     ) -> None:
-        """Reports the outcome of an attempt, unless it has ended already."""
+        """Reports the outcome of an attempt unless the attempt has ended already."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -253,7 +256,7 @@
     # Connections
 
     async def _connect(self, endpoint: Endpoint, attempt: Attempt) -> None:
-        """Opens a connection for an attempt, whose caller has counted it."""
+        """Opens a connection for an attempt; the caller has added it to `connection_count`."""
         address = endpoint.address
         incarnation = endpoint.incarnation
         sock: socket.socket | None = None
@@ -288,17 +291,18 @@
         elif attempt.ended:
             self.release(connection)
         elif self._is_drained(connection.endpoint) or not connection.is_current():
-            # The grace ran out, or the backend was replaced, while the connection came up.
+            # While the connection was being opened, the grace period ended or the backend was
+            # replaced.
             connection.close()
             self.finish(attempt, Outcome.CONNECT_FAILED)
         else:
             self._write(connection, attempt)
 
     def _take_idle(self, endpoint: Endpoint) -> BackendConnection | None:
-        """Removes and returns the idle connection that was used last.
+        """Removes and returns the most recently used idle connection, or returns None.
 
-        One that was released less than `SETTLE_TIME_S` ago stays: a duplicate of its response that
-        comes in a later read would pass for the next response.
+        A connection released less than `SETTLE_TIME_S` ago is passed over: a duplicate of its
+        response that arrives in a later read would be mistaken for the next response.
         """
         idle = endpoint.idle
         if not idle:
@@ -307,26 +311,26 @@
         index = len(idle)
         while index > 0:
             index -= 1
-            connection = idle[index]  # to close it removes it; those before keep their index
+            connection = idle[index]  # closing it removes it; earlier ones keep their index
             if connection.idle_since > now - SETTLE_TIME_S:
                 continue
-            in_time = connection.idle_since >= now - self.idle_limit.seconds
-            if in_time and not connection.has_unread_input():
+            within_limit = connection.idle_since >= now - self.idle_limit.seconds
+            if within_limit and not connection.has_unread_input():
                 del idle[index]
                 return connection
             connection.close()
         return None
 
     def release(self, connection: BackendConnection) -> None:
-        """Takes back a connection whose request has ended."""
+        """Returns a connection to the pool after its request has ended."""
         if not connection.is_current():
             connection.close()
         elif connection.is_open:
             connection.idle_since = self.clock()
             connection.endpoint.idle.append(connection)
 
-    def forget(self, connection: BackendConnection) -> None:
-        """Forgets a connection that was closed."""
+    def remove(self, connection: BackendConnection) -> None:
+        """Removes a closed connection from the pool."""
         self.connection_count -= 1
         idle = connection.endpoint.idle
         if connection in idle:
@@ -342,7 +346,7 @@
             connection.close()
 
     def _close_oldest_idle(self) -> bool:
-        """Closes the connection that has been idle longest; returns whether there was one."""
+        """Closes the connection that has been idle longest; returns whether one was closed."""
         oldest: BackendConnection | None = None
         for endpoint in self.endpoints.values():
             if not endpoint.idle:
@@ -356,7 +360,7 @@
         return True
 
     def _sweep(self) -> None:
-        """Closes connections that their backends are about to close."""
+        """Closes the connections that the backends are about to close."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self.idle_limit.recover(SWEEP_INTERVAL_S)
         expired_before = self.clock() - self.idle_limit.seconds
@@ -365,7 +369,7 @@
                 endpoint.idle[0].close()
 
     def close(self) -> None:
-        """Closes the idle connections; the others run on."""
+        """Closes the idle connections; attempts in flight continue."""
         self.sweep_timer.cancel()
         for endpoint in self.endpoints.values():
             self._close_idle(endpoint)
@@ -373,11 +377,11 @@
     # Logs
 
     def log_failure(self, backend: str, reason: str) -> None:
-        """Counts a failed attempt whose cause an operator should know."""
+        """Counts a failed attempt and logs a sample, since its cause concerns an operator."""
         if self.failures.record():
             log.warning("failed attempt %d, backend %s: %s", self.failures.count, backend, reason)
 
     def log_codec_fault(self, error: Exception) -> None:
-        """Counts an exception that no codec may raise."""
+        """Counts an unexpected exception raised by a codec, and logs a sample."""
         if self.codec_faults.record():
             log.error("codec fault %d", self.codec_faults.count, exc_info=error)
--- a/ingress/transport/backend_protocol.py
+++ b/ingress/transport/backend_protocol.py
@@ -1,6 +1,6 @@
-"""The codec interface of a connection to a backend: calls as bytes, and results out of bytes.
+"""The codec interface of a backend connection: encodes calls and decodes results.
 
-An implementation does no I/O and reads no clock; each connection has one of its own.
+An implementation does no I/O and reads no clock.  Each connection has its own instance.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class MalformedResponseError(Exception):
-    """The received bytes are no response of the protocol, or exceed one of its limits.
+    """The received bytes are not a valid response, or they exceed a limit.
 
-    Nothing that follows on the connection can be understood.
+    No later bytes on the connection can be decoded.
     """
 
 
 @dataclass(init=False, slots=True)
 class AttemptResult:
-    """How a complete response ended an attempt.
+    """The result of an attempt, decoded from a complete response.
 
     Attributes:
-        outcome: What the response says of the attempt.
+        outcome: The outcome of the attempt according to the response.
         value: The value, if the backend served the request.
-        load_report: The load that the backend reported, by name.
+        load_report: The load values that the backend reported, by name.
         reusable: Whether the connection may carry another request.
-        final_response: What the client gets whatever else is tried, where its protocol can't
-            express the backend's response; None to leave that to the policy.
+        final_response: The client's response regardless of further attempts, where the client's
+            protocol can't express the backend's response; None if the policy decides.
     """
 
     outcome: Outcome
@@ -57,18 +57,18 @@
 class BackendProtocol(Protocol):
     """The codec of one connection to a backend; one request is in flight at a time."""
 
-    def encode_request(self, call: Call, left: float) -> bytes:
-        """Returns the call as bytes; the backend is told to take at most `left` seconds.
+    def encode_request(self, call: Call, time_left: float) -> bytes:
+        """Returns the encoded call; it asks the backend to finish within `time_left` seconds.
 
         Raises:
-            ValueError: This protocol can't express the call.
+            ValueError: The protocol can't express the call.
         """
 
     def receive_data(self, data: bytes) -> AttemptResult | None:
-        """Takes received bytes; returns the result once the response is complete.
+        """Decodes received bytes; returns the result once the response is complete, else None.
 
         Raises:
-            MalformedResponseError: What was received is no response.
+            MalformedResponseError: The received bytes are not a valid response.
         """
 
     def receive_eof(self) -> AttemptResult | None:
@@ -76,4 +76,4 @@
 
 
 BackendProtocolFactory = Callable[[], BackendProtocol]
-"""Makes the codec of one new connection."""
+"""Creates the codec of a new connection."""
--- a/ingress/transport/client_connection.py
+++ b/ingress/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: requests are decoded and handed on, responses go back in order."""
+"""A client connection: decodes requests, passes them on and writes the responses in order."""
 
 from __future__ import annotations
 
@@ -18,34 +18,37 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED_REQUESTS: Final = 64  # without a response, on one connection; no more are read
-MAX_CONSECUTIVE_MALFORMED_REQUESTS: Final = 8  # then the connection is closed
-MAX_DISCARDED_BYTES: Final = 1024 * 1024  # then a closing connection is not read any more
-# For a first request, for the rest of a partial one, and for reading responses.  Lost segments are
-# sent again after 0.2, 0.4 and 0.8 s.
+MAX_PIPELINED_REQUESTS: Final = 64  # unanswered on one connection; no more are read meanwhile
+MAX_CONSECUTIVE_MALFORMED_REQUESTS: Final = 8  # after these the connection is closed
+MAX_DISCARDED_BYTES: Final = 1024 * 1024  # after these a closing connection is no longer read
+# For a first request, for the rest of a partial one, and for the client to read responses.  Lost
+# segments are retransmitted after 0.2, 0.4 and 0.8 s.
 PROGRESS_TIMEOUT_S: Final = 2.0
 # Longer than PROGRESS_TIMEOUT_S, since a new connection costs both sides more than an idle one.
 IDLE_TIMEOUT_S: Final = 5.0
-LINGER_TIME_S: Final = 1.0  # for a client to read its last error, while its input is discarded
-# For the first request on a connection that comes up while the listener closes.
+LINGER_TIME_S: Final = 1.0  # for a client to read its last error while its input is discarded
+# For the first request on a connection that is accepted while the listener closes.
 FIRST_REQUEST_GRACE_S: Final = 0.2
 
 
 class ClientConnection:
-    """One connection of a client.
+    """One client connection.
 
-    It has the methods of an `asyncio.Protocol` without being one: a compiled class can't inherit
-    from an interpreted one.
+    The class has the methods of `asyncio.Protocol` but does not inherit from it, because a compiled
+    class can't inherit from an interpreted one.
 
     Attributes:
-        last_used_at: When it came up, or had no open request any more; seconds of the clock.
-        unparsed: What was received and is no complete request yet, or is not parsed yet.
-        partial_since: When the first byte of a partial request arrived, else None.
-        write_blocked_at: Since when the client does not read its responses, else None.
-        closing: Whether no further requests are taken; it ends after the responses owed.
+        last_used_at: When the connection was made, or when its last open request was answered; in
+            seconds of the clock.
+        unparsed: Received bytes that are an incomplete request or are not parsed yet.
+        partial_since: Arrival time of the first byte of a partial request, or None.
+        write_blocked_at: Time since which the client has not read its responses, or None.
+        closing: Whether further requests are ignored; the connection closes after the pending
+            responses.
         pipeline_full: Whether parsing has stopped at `MAX_PIPELINED_REQUESTS`.
-        reading_paused: Whether nothing is read from the socket for now.
-        parsing: Whether received bytes are being parsed; responses wait, to go out in one write.
+        reading_paused: Whether reading from the socket is paused.
+        parsing: Whether received bytes are being parsed; responses are then collected for one
+            write.
     """
 
     __slots__ = (
@@ -89,16 +92,16 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Stores the transport of the new connection and adds it to the idle connections."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
         self.last_used_at = self.listener.clock()
         self.listener.idle_connections.add_new(self)
         if self.listener.draining:
-            # Accepted last: without a request on its way it would stay open.
+            # Accepted during the drain; without a first request it would stay open.
             self.listener.loop.call_later(FIRST_REQUEST_GRACE_S, self.close_if_idle)
 
     def data_received(self, data: bytes) -> None:
-        """Takes received bytes."""
+        """Parses received bytes, or discards them if the connection is closing."""
         if self.closing:
             self._discard(len(data))
             return
@@ -112,32 +115,32 @@
             and listener.buffered_bytes > listener.max_buffered_bytes
             and not self.closing
         ):
-            # Partial requests on many connections could take all of the memory.
+            # Partial requests on many connections could exhaust the memory.
             self._fail("too much is on the way")
 
     def pause_writing(self) -> None:
-        """The client does not read its responses: its requests are not read for now."""
+        """Pauses reading requests, since the client does not read its responses."""
         self.write_blocked_at = self.listener.clock()
         self._update_flow_control()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Resumes parsing, since the client reads its responses again."""
         self.write_blocked_at = None
         self.listener.loop.call_soon(self._parse)
 
     def eof_received(self) -> None:
-        """The client has ended its sending: it counts as gone."""
+        """Treats the end of the client's sending as a disconnection."""
         self.handle_disconnect()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """Handles the disconnection and removes the closed connection from the listener."""
         self.handle_disconnect()
         self.listener.remove(self)
 
     # Requests
 
     def _parse(self) -> None:
-        """Handles the complete requests among the unparsed bytes, then writes what is due."""
+        """Handles the complete requests in the unparsed bytes, then writes completed responses."""
         data = self.unparsed
         self.unparsed = b""
         self.listener.buffered_bytes -= len(data)
@@ -162,7 +165,7 @@
                 self._fail(str(error))
                 break
             except Exception:
-                # A codec's fault in cutting frames ends this connection and nothing else.
+                # A codec fault while finding frames ends only this connection.
                 self.listener.log_codec_fault("a frame")
                 self._fail("not understood")
                 break
@@ -178,7 +181,7 @@
         self._update_flow_control()
 
     def _send_interim_response(self) -> None:
-        """Writes what the client waits for, but never in front of a response that is owed."""
+        """Writes the interim response that the client awaits, unless a response is pending."""
         if not self.pending and self.transport is not None:
             data = self.protocol.interim_response()
             if data:
@@ -195,7 +198,7 @@
         except MalformedFrameError:
             raise
         except Exception:
-            # A codec's fault counts as one malformed request, which has its response too.
+            # A codec fault counts as one malformed request, which is answered too.
             self.listener.log_codec_fault("a request")
             self._reject_malformed("not understood")
             return
@@ -213,7 +216,7 @@
             self.listener.log_malformed(str(duplicate))
             pending.complete(protocol.encode_error(str(duplicate)))
         except Exception:
-            # A fault in one request must not end the process, or the others on this connection.
+            # An exception in one request must not end the process or affect other requests.
             log.exception("request handler failed")
             pending.complete(protocol.encode_error("internal error"))
 
@@ -233,7 +236,7 @@
         self.pending.append(pending)
 
     def _fail(self, reason: str) -> None:
-        """Ends the connection after the responses owed: what follows can't be understood."""
+        """Closes the connection after the pending responses; later input can't be decoded."""
         self.listener.log_malformed(reason)
         self.closing = True
         self._drop_unparsed()
@@ -248,7 +251,8 @@
     def _discard(self, size: int) -> None:
         """Discards input of a closing connection.
 
-        Closing on unread input would send a reset, and with it the client loses its last error.
+        Closing the socket with unread input would send a reset, and the client would lose its last
+        error.
         """
         self.discarded_bytes += size
         if (
@@ -263,7 +267,7 @@
     # Responses
 
     def flush(self) -> None:
-        """Writes the responses that are complete, up to the first pending one."""
+        """Writes the completed responses that precede the first pending one."""
         if self.parsing:
             return
         ready = []
@@ -288,7 +292,7 @@
             self.listener.loop.call_soon(self._parse)
 
     def _update_flow_control(self) -> None:
-        """Pauses reading while the client is far ahead, or does not read its responses."""
+        """Pauses reading while the pipeline is full or the client does not read its responses."""
         if self.transport is None or self.transport.is_closing() or self.closing:
             return
         pause = self.pipeline_full or self.write_blocked_at is not None
@@ -302,18 +306,18 @@
             self.transport.resume_reading()
             self.listener.hangup_watcher.unwatch(self)
 
-    # The end
+    # Shutdown and timeouts
 
     def has_unread_input(self) -> bool:
-        """Returns whether bytes, or the end of the connection, wait in the system's buffer."""
+        """Returns whether the socket has unread bytes or an unread end of the connection."""
         poll = select.poll()
         poll.register(self.sock, select.POLLIN)
         return bool(poll.poll(0))
 
     def close_if_idle(self) -> None:
-        """Closes the connection once all is written, unless a request is open or has arrived.
+        """Closes the connection after all writes, unless a request is open or has arrived.
 
-        A request that has arrived, even in part, has its response before the connection ends.
+        A request that has arrived, even in part, is answered before the connection is closed.
         """
         if (
             self.transport is not None
@@ -324,9 +328,10 @@
             self.transport.close()
 
     def half_close(self) -> None:
-        """Ends the sending, and discards what still arrives.
+        """Ends the sending side, and discards further input.
 
-        Closing on unread input would send a reset, and with it the client loses its last responses.
+        Closing the socket with unread input would send a reset, and the client would lose its last
+        responses.
         """
         self.closing = True
         self._drop_unparsed()
@@ -338,9 +343,9 @@
             self.transport.write_eof()
 
     def enforce_timeouts(self, now: float) -> None:
-        """Ends a connection that makes no progress, or is idle for too long.
+        """Closes a connection that makes no progress or is idle for too long.
 
-        Each time runs from when the wait began: single bytes do not prolong it.
+        Each timeout runs from the start of the wait; single bytes do not extend it.
         """
         if self.transport is None:
             return
@@ -359,7 +364,7 @@
                 self.close_if_idle()
 
     def handle_disconnect(self) -> None:
-        """Tells the handler that nobody waits for the open requests any more."""
+        """Notifies the handler that the client no longer waits for its open requests."""
         if self.reading_paused:
             self.listener.hangup_watcher.unwatch(self)
         self.transport = None
--- a/ingress/transport/client_listener.py
+++ b/ingress/transport/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients, bounds them, and closes them in a graceful shutdown."""
+"""Accepts client connections, limits their number and closes them in a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG: Final = 512  # connections that the system holds until they are accepted
-ACCEPT_BATCH: Final = 16  # connections accepted in one turn of the loop; room kept free for them
-SWEEP_INTERVAL_S: Final = 0.25  # between the checks of all connections' timeouts
-STALL_THRESHOLD_S: Final = 2 * SWEEP_INTERVAL_S  # without a sweep, or anything read
-TURNS_TO_FIRST_READ: Final = 3  # of the loop, from when a connection is attached, at most
-LOG_SAMPLING_INTERVAL: Final = 1000  # of repeated events, one in this many is logged
+BACKLOG: Final = 512  # connections that the system queues until they are accepted
+ACCEPT_BATCH: Final = 16  # connections accepted per loop iteration; as many places are kept free
+SWEEP_INTERVAL_S: Final = 0.25  # between timeout checks of all connections
+STALL_THRESHOLD_S: Final = 2 * SWEEP_INTERVAL_S  # without a sweep or any read
+ITERATIONS_TO_FIRST_READ: Final = 3  # of the event loop after a connection is attached, at most
+LOG_SAMPLING_INTERVAL: Final = 1000  # one in this many repeated events is logged
 
 
 class ClientListener:
-    """The listening socket and the connections accepted on it, `max_connections` at most.
+    """The listening socket and the connections accepted on it, at most `max_connections`.
 
     Attributes:
-        connections: All connections, those that are being attached or closed too.
-        evicted: Connections that were closed for new ones and whose descriptors are not free yet.
-        idle_connections: Those without an open request, in the order of eviction.
-        buffered_bytes: What was received on all connections and is no complete request yet.
-        accepting_paused: Whether new connections wait until one has left.
+        connections: All connections, including those that are being attached or closed.
+        evicted: Connections closed in favour of new ones whose descriptors are not free yet.
+        idle_connections: Connections without an open request, in eviction order.
+        buffered_bytes: Number of bytes received of incomplete requests, on all connections.
+        accepting_paused: Whether new connections wait until another one is closed.
         malformed_requests: Counts malformed requests.
-        codec_faults: Counts exceptions that no codec may raise.
+        accept_failures: Counts failed `accept` calls.
+        codec_faults: Counts the unexpected exceptions raised by codecs.
     """
 
     def __init__(
@@ -74,24 +75,24 @@
         self.listening_socket.bind(address)
 
     def open(self) -> None:
-        """Begins to accept connections."""
-        self.stall_detector.reset()  # however long the start has taken, nothing can have arrived
+        """Starts to accept connections."""
+        self.stall_detector.reset()  # nothing can have arrived during a slow start
         self.listening_socket.listen(BACKLOG)
         self.loop.add_reader(self.listening_socket, self._accept)
 
     # Accepting
 
     def _accept(self) -> bool:
-        """Accepts some connections; returns whether more may wait."""
+        """Accepts a batch of connections; returns whether more may be waiting."""
         self.stall_detector.arrival_time()
         more_may_wait = self._accept_batch()
-        self.stall_detector.accepted(more_may_wait)
+        self.stall_detector.batch_accepted(more_may_wait)
         return more_may_wait
 
     def _accept_batch(self) -> bool:
         for _ in range(ACCEPT_BATCH):
             if len(self.connections) >= self.max_connections:
-                # The descriptors would run out: new connections wait until one has left.
+                # File descriptors would run out: new connections wait until another one is closed.
                 if not self.evicted:
                     self._evict_one()
                 self._pause_accepting()
@@ -100,14 +101,14 @@
             if sock is None:
                 return False
             self._add_connection(sock)
-            staying = len(self.connections) - len(self.evicted)
+            remaining = len(self.connections) - len(self.evicted)
             reserve = max(1, min(ACCEPT_BATCH, self.max_connections // 8))
-            if staying > self.max_connections - reserve:
+            if remaining > self.max_connections - reserve:
                 self._evict_one()
         return True
 
     def _accept_socket(self) -> socket.socket | None:
-        """Returns the next waiting connection's socket, or None if there is none to be had."""
+        """Returns the socket of the next waiting connection, or None if none can be accepted."""
         try:
             sock, _ = self.listening_socket.accept()
         except BlockingIOError:
@@ -125,37 +126,37 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self, sock)
         self.connections.add(connection)
-        came_in_a_stall = self.stall_detector.connection_accepted()
-        task = self.loop.create_task(self._attach(connection, sock, came_in_a_stall))
+        opened_in_stall = self.stall_detector.connection_accepted()
+        task = self.loop.create_task(self._attach(connection, sock, opened_in_stall))
         self.attach_tasks.add(task)
         task.add_done_callback(self.attach_tasks.discard)
 
     async def _attach(
-        self, connection: ClientConnection, sock: socket.socket, came_in_a_stall: bool
+        self, connection: ClientConnection, sock: socket.socket, opened_in_stall: bool
     ) -> None:
         try:
             await self.loop.connect_accepted_socket(
                 lambda: cast(asyncio.Protocol, connection), sock
             )
-            if came_in_a_stall:
-                await self._pass_turns(TURNS_TO_FIRST_READ)
-        except Exception as error:  # whatever it is, it must not keep a place for good
+            if opened_in_stall:
+                await self._run_iterations(ITERATIONS_TO_FIRST_READ)
+        except Exception as error:  # any failure must give the connection's place back
             log.warning(
-                "attaching an accepted connection failed: %s: %s", type(error).__name__, error
+                "failed to attach an accepted connection: %s: %s", type(error).__name__, error
             )
             sock.close()
             self.remove(connection)
         finally:
-            if came_in_a_stall:
+            if opened_in_stall:
                 self.stall_detector.connection_read()
 
-    async def _pass_turns(self, count: int) -> None:
-        """Lets the event loop turn so often: it reads in each."""
+    async def _run_iterations(self, count: int) -> None:
+        """Waits for `count` iterations of the event loop, which reads from sockets in each."""
         for _ in range(count):
             await asyncio.sleep(0)
 
     def _pause_accepting(self) -> None:
-        """Leaves new connections in the backlog until one has left, or the next sweep."""
+        """Leaves new connections in the backlog until one is closed or until the next sweep."""
         if not self.accepting_paused:
             self.accepting_paused = True
             self.loop.remove_reader(self.listening_socket)
@@ -169,7 +170,7 @@
                 self.loop.add_reader(self.listening_socket, self._accept)
 
     def _evict_one(self) -> None:
-        """Closes the connection that is missed least, if any may go."""
+        """Closes the connection that is first in eviction order, if any may be evicted."""
         connection = self.idle_connections.pop_for_eviction(self.clock())
         if connection is not None and connection.transport is not None:
             self.evicted.add(connection)
@@ -178,26 +179,26 @@
     # Called by the connections
 
     def remove(self, connection: ClientConnection) -> None:
-        """Forgets a connection that is closed."""
+        """Removes a closed connection."""
         self.connections.discard(connection)
         self.evicted.discard(connection)
         self._resume_accepting()
 
     def log_malformed(self, reason: str) -> None:
-        """Counts a malformed request."""
+        """Counts a malformed request and logs a sample."""
         if self.malformed_requests.record():
             log.warning("malformed request %d: %s", self.malformed_requests.count, reason)
 
     def log_codec_fault(self, subject: str) -> None:
-        """Counts the exception that is being handled; no codec may raise it.
+        """Counts the exception being handled, which a codec must not raise, and logs a sample.
 
         Args:
-            subject: What the codec was given.
+            subject: The kind of data that the codec was processing.
         """
         if self.codec_faults.record():
-            log.exception("codec fault %d on %s", self.codec_faults.count, subject)
+            log.exception("codec fault %d while handling %s", self.codec_faults.count, subject)
 
-    # Timeouts and the end
+    # Timeouts and shutdown
 
     def _sweep(self) -> None:
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -208,13 +209,14 @@
         self._resume_accepting()
 
     def empty(self) -> bool:
-        """Returns whether no connection is left."""
+        """Returns whether all connections are closed."""
         return not self.connections
 
     def drain(self) -> None:
-        """Accepts what waits, closes the listening socket, and each connection once it is idle.
+        """Accepts the waiting connections, then closes the listening socket.
 
-        A connection that came up a moment ago may have its first request on the way.
+        Each connection is closed once it is idle.  A new connection gets `FIRST_REQUEST_GRACE_S`
+        first, since its first request may be in transit.
         """
         self.draining = True
         now = self.clock()
@@ -228,7 +230,7 @@
             self._accept_last()
 
     def _accept_last(self) -> None:
-        """Accepts what waits; where there is no room, the rest once a connection has left."""
+        """Accepts the waiting connections; beyond the limit, each once another one is closed."""
         while self._accept():
             pass
         if not self.accepting_paused:
@@ -240,7 +242,7 @@
             self.listening_socket.close()
 
     def close(self) -> None:
-        """Stops listening, and ends the sending on each connection."""
+        """Stops listening and ends the sending side of each connection."""
         self.sweep_timer.cancel()
         self.hangup_watcher.close()
         self._close_listening_socket()
--- a/ingress/transport/client_protocol.py
+++ b/ingress/transport/client_protocol.py
@@ -1,6 +1,6 @@
-"""The codec interface of a client's connection: bytes in, calls out, and responses as bytes.
+"""The codec interface of a client connection: decodes requests and encodes responses.
 
-An implementation does no I/O and reads no clock; each connection has one of its own.
+An implementation does no I/O and reads no clock.  Each connection has its own instance.
 """
 
 from __future__ import annotations
@@ -12,54 +12,54 @@
 
 
 class MalformedFrameError(Exception):
-    """The received bytes are no frame of the protocol, or exceed one of its limits.
+    """The received bytes are not a valid frame, or they exceed a limit.
 
-    Nothing that follows on the connection can be understood.
+    No later bytes on the connection can be decoded.
     """
 
 
 class ClientProtocol(Protocol):
-    """The codec of one client's connection.
+    """The codec of one client connection.
 
     Attributes:
-        close_requested: Whether the client asked for the connection to be closed after the
-            request that was decoded last.
+        close_requested: Whether the client asked to close the connection after the most recently
+            decoded request.
     """
 
     close_requested: bool
 
     def find_frame_end(self, data: bytes, at: int) -> int:
-        """Returns where the request that starts at `at` ends, or -1 if more bytes are needed.
+        """Returns the end of the request that starts at `at`, or -1 if more bytes are needed.
 
         Raises:
-            MalformedFrameError: What starts there is no request, or one beyond the limits.
+            MalformedFrameError: The bytes at `at` are not a valid request, or they exceed a limit.
         """
 
     def interim_response(self) -> bytes:
-        """Returns what the client waits for before it sends the rest of a partial request."""
+        """Returns any bytes that the client awaits before it sends the rest of a request."""
 
     def decode_request(self, frame: bytes) -> Call | bytes:
         """Decodes the complete request whose end `find_frame_end` returned last.
 
         Returns:
-            A call, or the bytes of the response if the codec itself can answer.
+            A call, or the encoded response if the codec answers the request itself.
 
         Raises:
             InvalidCallError: The request is invalid; the next one can still be decoded.
-            MalformedFrameError: Nothing that follows can be decoded.
+            MalformedFrameError: No later bytes on the connection can be decoded.
         """
 
     def encode_response(self, call: Call | None, response: Response) -> bytes:
         """Returns the final response to a call that this codec decoded."""
 
     def encode_error(self, reason: str, fatal: bool = False) -> bytes:
-        """Returns a response that names what is wrong with a request.
+        """Returns an encoded error response.
 
         Args:
-            reason: What is wrong, for the client's log.
+            reason: The error in the request, for the client's log.
             fatal: Whether the connection is closed after this response.
         """
 
 
 ClientProtocolFactory = Callable[[], ClientProtocol]
-"""Makes the codec of one new connection."""
+"""Creates the codec of a new connection."""
--- a/ingress/transport/hangup_watcher.py
+++ b/ingress/transport/hangup_watcher.py
@@ -1,4 +1,4 @@
-"""Notices that clients have disconnected while nothing is read from them."""
+"""Detects that clients disconnect while reading from their connections is paused."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 if TYPE_CHECKING:
     from ingress.transport.client_connection import ClientConnection
 
-POLL_INTERVAL_S: Final = 0.04  # an attempt may begin 0.1 s after its client has gone, at most
+# No attempt may start more than 0.1 s after its client disconnected.
+POLL_INTERVAL_S: Final = 0.04
 
 
 class HangupWatcher:
-    """Polls the connections whose reading is paused for the end of the client's sending.
+    """Polls connections whose reading is paused for the end of the client's sending.
 
-    The event loop reports an end only after all bytes before it were read; until then requests of
-    a client that has gone would be forwarded.
+    The event loop reports the end of a connection only after all bytes before it were read.  Until
+    then, requests of a disconnected client would be forwarded.
 
     Attributes:
         connections: The watched connections by file descriptor.
@@ -29,7 +30,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def watch(self, connection: ClientConnection) -> None:
-        """Watches a connection whose reading was paused."""
+        """Starts to watch a connection whose reading has been paused."""
         descriptor = connection.sock.fileno()
         self.connections[descriptor] = connection
         self.poll.register(descriptor, select.POLLRDHUP)
@@ -37,7 +38,7 @@
             self.timer = self.loop.call_later(POLL_INTERVAL_S, self._poll_hangups)
 
     def unwatch(self, connection: ClientConnection) -> None:
-        """Forgets a connection that is read again, or is gone."""
+        """Stops watching a connection whose reading has resumed or that is closed."""
         descriptor = connection.sock.fileno()
         if self.connections.get(descriptor) is connection:
             del self.connections[descriptor]
@@ -50,7 +51,7 @@
         for descriptor, _ in self.poll.poll(0):
             connection = self.connections.get(descriptor)
             if connection is None:
-                continue  # the end of another connection had this one read again
+                continue  # handling an earlier hangup resumed reading on this connection
             transport = connection.transport
             connection.handle_disconnect()
             if transport is not None:
--- a/ingress/transport/idle_connections.py
+++ b/ingress/transport/idle_connections.py
@@ -1,4 +1,4 @@
-"""The clients' connections without an open request, in the order of eviction."""
+"""Client connections without an open request, in eviction order."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
     from ingress.transport.client_connection import ClientConnection
 
 MAX_CANDIDATES: Final = 16  # connections of one queue that are considered for eviction
-# The first request of a connection that was just accepted may be on its way.
+# The first request on a newly accepted connection may still be in transit.
 MIN_SILENCE_BEFORE_EVICTION_S: Final = 0.1
 
 
 class IdleConnections:
-    """Three queues of connections, in the order of eviction; each begins with the longest waiting.
+    """Three queues of connections, in eviction order; each has the longest waiting one first.
 
-    A connection with an open request is in none of them.
+    A connection with an open request is in none of the queues.
 
     Attributes:
-        closing: Those that get no further response, and end when the client has read the last.
-        awaiting_first_request: Those that have not sent a request yet.
-        idle: Those whose requests all have their responses.
+        closing: Connections whose last response is written; they close once the client has read it.
+        awaiting_first_request: Connections that have not sent a request yet.
+        idle: Connections whose requests have all been answered.
     """
 
     def __init__(self) -> None:
@@ -30,24 +30,24 @@
         self.idle: dict[ClientConnection, None] = {}
 
     def add_new(self, connection: ClientConnection) -> None:
-        """Adds a connection that was just accepted."""
+        """Adds a newly accepted connection."""
         self.awaiting_first_request[connection] = None
 
     def add(self, connection: ClientConnection) -> None:
-        """Adds a connection that has no open request any more."""
+        """Adds a connection that no longer has an open request."""
         if connection.closing:
             self.closing[connection] = None
         else:
             self.idle[connection] = None
 
     def remove(self, connection: ClientConnection) -> None:
-        """Removes a connection that has an open request, or is gone."""
+        """Removes a connection that has an open request or is closed."""
         self.closing.pop(connection, None)
         self.awaiting_first_request.pop(connection, None)
         self.idle.pop(connection, None)
 
     def pop_for_eviction(self, now: float) -> ClientConnection | None:
-        """Removes and returns the connection to close for a new one, or None if none may go."""
+        """Removes and returns the connection to evict, or returns None if none may be evicted."""
         connection = _choose(self.closing, now, 0.0)
         if connection is None:
             connection = _choose(self.awaiting_first_request, now, MIN_SILENCE_BEFORE_EVICTION_S)
@@ -61,9 +61,10 @@
 def _choose(
     queue: dict[ClientConnection, None], now: float, min_idle_time_s: float
 ) -> ClientConnection | None:
-    """Returns the first connection without input among those idle for long enough.
+    """Returns the first connection without input that has been idle for `min_idle_time_s`.
 
-    One whose next request has arrived, in part or unread, is returned only if all have one.
+    A connection that has received part of a request, or has unread input, is returned only if every
+    candidate has.
     """
     first: ClientConnection | None = None
     for connection in islice(queue, MAX_CANDIDATES):
--- a/ingress/transport/pending_response.py
+++ b/ingress/transport/pending_response.py
@@ -1,4 +1,4 @@
-"""The responses that a client's connection owes, and who takes the requests."""
+"""The pending responses of a client's connection, and the interface of the request handler."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class RequestHandler(Protocol):
-    """Takes the requests of all connections."""
+    """Handles the requests of all connections."""
 
     def request(self, downstream: PendingResponse, call: Call, arrived: float) -> None:
-        """Takes a call that arrived at `arrived`, in seconds of the clock.
+        """Handles a call whose bytes arrived at time `arrived`, in seconds of the clock.
 
         Raises:
-            DuplicateRequestError: The call's id belongs to an open request.
+            DuplicateRequestError: Another open request has the same id.
         """
 
     def client_disconnected(self, downstream: PendingResponse) -> None:
-        """The client that waited for this response has gone."""
+        """Handles the disconnection of the client that was waiting for this response."""
 
 
 class PendingResponse:
-    """One response in the order of its connection, pending until its bytes are known.
+    """One response in the connection's order, pending until its bytes are set.
 
     Attributes:
-        connection: The connection on which it is written.
-        call: What is answered, once it was decoded.
-        data: The response as bytes, or None while it is pending.
-        request_key: The handler's name for the open request.
+        connection: The connection on which the response is written.
+        call: The call that the response belongs to, once the call has been decoded.
+        data: The encoded response, or None while it is pending.
+        request_key: The handler's key for the open request.
     """
 
     __slots__ = ("call", "connection", "data", "request_key")
@@ -43,18 +43,18 @@
         self.data: bytes | None = None
 
     def answer(self, answer: Response) -> None:
-        """Completes the response; a second final answer is dropped."""
+        """Encodes and completes the response; a second final response is dropped."""
         protocol = self.connection.protocol
         try:
             data = protocol.encode_response(self.call, answer)
         except Exception:
-            # The client gets a response even if its protocol can't express the answer.
-            self.connection.listener.log_codec_fault("an answer")
+            # The client receives a response even if its codec fails to encode this one.
+            self.connection.listener.log_codec_fault("a response")
             data = protocol.encode_response(self.call, FAILED_RESPONSE)
         self.complete(data)
 
     def complete(self, data: bytes) -> None:
-        """Sets the bytes of the response, if they are not set, and writes what is due."""
+        """Sets the bytes of the response unless they are set, and writes completed responses."""
         if self.data is None:
             self.data = data
             self.connection.flush()
--- a/ingress/transport/sampled_log.py
+++ b/ingress/transport/sampled_log.py
@@ -1,4 +1,4 @@
-"""Counts events that may repeat without end, and samples those that are logged."""
+"""Counts events that may repeat without limit, and selects a sample of them for the log."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class SampledLog:
-    """Counts events of one kind; the first ones are logged, then one in `interval`.
+    """Counts events of one kind.
 
-    A peer that repeats a fault could fill the log otherwise, and take the time that requests need.
+    The first `MAX_UNSAMPLED_EVENTS` are logged, then one in `interval`.  Otherwise a peer that
+    repeats a fault could fill the log and take processing time from requests.
     """
 
     __slots__ = ("count", "interval")
--- a/ingress/transport/stall_detector.py
+++ b/ingress/transport/stall_detector.py
@@ -1,4 +1,4 @@
-"""Detects that the event loop stalled, and when the requests that it then reads may have come."""
+"""Detects stalls of the event loop and estimates the arrival time of requests read after one."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 
 log = logging.getLogger(__name__)
 
-# Within this time all that came during a stall is read, if no more connections wait to be accepted.
+# All input received during a stall is read within this time, unless more connections are waiting to
+# be accepted.
 CATCH_UP_TIME_S: Final = 0.01
 
 
 class StallDetector:
-    """Gives the time at which received bytes may have arrived.
+    """Estimates when received bytes arrived.
 
-    Requests that waited in the system's buffers while the process did not run have used up part of
-    their time already.  It counts from the last moment at which nothing waited.
+    While the process does not run, requests wait in the system's socket buffers and use up part of
+    their timeout.  Their arrival time is taken as the last time at which the event loop was active
+    before the stall.
 
     Attributes:
-        stalled_since: The start of a stall that is not caught up with yet, else None.
-        more_to_accept: Whether connections may wait to be accepted, so that reading is behind.
-        backlog_emptied: Whether no connection has waited to be accepted at some time since.
-        unread_connections: Accepted before that, and not read yet.
+        stalled_since: The start of the current stall, until all its input is read; else None.
+        more_to_accept: Whether connections may be waiting in the backlog.
+        backlog_emptied: Whether the backlog has been empty at some time since the stall.
+        unread_connections: Number of connections accepted before the backlog was empty and not read
+            yet.
     """
 
     __slots__ = (
@@ -49,11 +52,11 @@
         self.unread_connections = 0
 
     def reset(self) -> None:
-        """Starts anew: nothing can have arrived before now."""
+        """Sets the last activity to now; call it when no input can have arrived before."""
         self.last_active_at = self.clock()
 
     def arrival_time(self) -> float:
-        """Returns the earliest time at which what is read now may have arrived."""
+        """Returns the earliest time at which the input read now may have arrived."""
         now = self.clock()
         if now - self.last_active_at > self.threshold_s and self.stalled_since is None:
             self.stalled_since = self.last_active_at
@@ -63,15 +66,15 @@
         self.last_active_at = now
         return now if self.stalled_since is None else self.stalled_since
 
-    def accepted(self, more_to_accept: bool) -> None:
-        """Records that connections were accepted, and whether more may wait."""
+    def batch_accepted(self, more_to_accept: bool) -> None:
+        """Records that a batch of connections was accepted, and whether more may be waiting."""
         self.more_to_accept = more_to_accept
         self.backlog_emptied = self.backlog_emptied or not more_to_accept
 
     def connection_accepted(self) -> bool:
-        """Returns whether a connection accepted now may have come during a stall.
+        """Returns whether a connection accepted now may have been opened during a stall.
 
-        If so, `connection_read` has to follow once it was read for the first time.
+        If so, the caller must call `connection_read` after the first read from the connection.
         """
         if self.stalled_since is None or self.backlog_emptied:
             return False
@@ -79,7 +82,7 @@
         return True
 
     def connection_read(self) -> None:
-        """Records that what such a connection had received is read."""
+        """Records the first read from a connection opened during a stall."""
         self.unread_connections -= 1
 
     def _catch_up(self) -> None:
@@ -87,5 +90,5 @@
             self.backlog_emptied = True
             self.stalled_since = None
         else:
-            self.more_to_accept = False  # until more are accepted
+            self.more_to_accept = False  # until the next batch is accepted
             self.loop.call_later(CATCH_UP_TIME_S, self._catch_up)
