--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on ephemeral loopback ports, and a configuration that leads to them."""
+"""Scripted clients and servers on ephemeral loopback ports, and a configuration for them."""
 
 from __future__ import annotations
 
@@ -12,24 +12,32 @@
 
 from ingress.platform.config import Config, read_config
 
-LIMIT = 20.0  # s after which a test is stuck
+TEST_TIMEOUT_S = 20.0  # after which a test counts as stuck
 Address = tuple[str, int]
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 
 
 def run(body: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(body, LIMIT))
+    """Runs the body of a test in an event loop, for at most `TEST_TIMEOUT_S`."""
+    uvloop.run(asyncio.wait_for(body, TEST_TIMEOUT_S))
 
 
-async def until(true: Callable[[], object]) -> None:
-    """Waits for something that the program under test does on its own."""
-    while not true():  # noqa: ASYNC110 - what is waited for has no event to set
+async def until(condition: Callable[[], object]) -> None:
+    """Polls until the condition on the program under test is true."""
+    while not condition():  # noqa: ASYNC110 - the program under test sets no event
         await asyncio.sleep(0.002)
 
 
 class Peer:
-    """A server; `script` plays each of its connections, given the connection's number."""
+    """A scripted server.
+
+    Attributes:
+        script: Handles each connection, given the connection's number from 0.
+        connections: Number of connections accepted.
+        ended: Number of connections whose script has ended.
+        commands: Commands received, as recorded by the script.
+    """
 
     def __init__(self, script: Callable[[int, Reader, Writer], Awaitable[None]]) -> None:
         self.script, self.connections, self.ended = script, 0, 0
@@ -62,6 +70,7 @@
 
 
 async def read_command(reader: Reader) -> list[bytes]:
+    """Reads a command, an array of bulk strings; returns its words."""
     count = int((await reader.readuntil(b"\r\n"))[1:])
     words = []
     for _ in range(count):
@@ -71,12 +80,16 @@
 
 
 def value(text: bytes) -> bytes:
-    """A backend's answer."""
+    """Returns a backend's successful response with this value."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
 def backend(answer: bytes | None = None) -> Peer:
-    """Answers each command with `answer`, or with its id; b"" stands for silence."""
+    """Returns a server that answers each command with `answer`.
+
+    Args:
+        answer: The response; b"" for none, None for the request's id as the value.
+    """
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -97,6 +110,7 @@
     body: bytes | None = None,
     extra: str = "",
 ) -> bytes:
+    """Returns an encoded request; one of a class other than "read" is a write with a key."""
     if cls != "read":
         verb, extra, body = verb or "API.WRITE", extra + ",k=0123456789abcdef", body or b"body"
     names = f"c={cls},t=basic,d={d}{extra},units=1,spread=1,first=0"
@@ -105,28 +119,36 @@
 
 
 def resp(*words: bytes) -> bytes:
+    """Returns the words encoded as an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
 class Caller:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer, self.parser = reader, writer, hiredis.Reader(notEnoughData=self)
 
     @classmethod
     async def to(cls, address: Address) -> Self:
+        """Connects to an address."""
         return cls(*await asyncio.open_connection(*address))
 
     async def answer(self) -> Any:
-        while (found := self.parser.gets()) is self:
+        """Reads the next response.
+
+        Raises:
+            EOFError: The connection ended before a complete response.
+        """
+        while (response := self.parser.gets()) is self:
             data = await self.reader.read(1 << 16)
             if not data:
                 raise EOFError
             self.parser.feed(data)
-        return found
+        return response
 
     async def ask(self, data: bytes) -> Any:
+        """Writes a request and reads the next response."""
         self.writer.write(data)
         return await self.answer()
 
@@ -158,6 +180,7 @@
 def entry(
     address: Address, name: str = "s1", state: str = "ready", started: int = 0
 ) -> dict[str, Any]:
+    """Returns an entry of the endpoint list; `started` is in milliseconds."""
     return {
         "id": name,
         "addr": f"{address[0]}:{address[1]}",
@@ -176,6 +199,7 @@
     discovery: str = "127.0.0.1:1",
     **changes: Any,
 ) -> str:
+    """Returns a configuration as JSON; `changes` replace top-level keys, and None removes one."""
     source = {
         "name": "n0",
         "listen": listen,
@@ -189,4 +213,5 @@
 
 
 def config(*servers: dict[str, Any], **changes: Any) -> Config:
+    """Returns the parsed configuration; see `config_text`."""
     return read_config(config_text(*servers, **changes))
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -1,4 +1,4 @@
-"""Twelve processes of the program that gossip, inside the testbed: for the tests of fleets."""
+"""A testbed of twelve gossiping instances, for the tests of fleets."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from ingress.testbed.world import World
 
 COUNT = 12
-PATIENCE = 45.0  # s for an event, on a machine that does much else
-LONGEST = 140.0  # s of one play
-Said = dict[int, dict[str, Any]]
+EVENT_TIMEOUT_S = 45.0  # for one event, on a busy machine
+RUN_TIMEOUT_S = 140.0  # for one run of the testbed
+FleetCounts = dict[int, dict[str, Any]]  # by the number of the instance that logged them
 
 
 async def counted(ingress: Ingress) -> dict[str, Any]:
-    """What a process says that it counted, by SIGUSR1."""
-    before, end = ingress.log.stat().st_size, time.monotonic() + PATIENCE
+    """Returns the counts that an instance logs on SIGUSR1."""
+    before, end = ingress.log.stat().st_size, time.monotonic() + EVENT_TIMEOUT_S
     ingress.signal(signal.SIGUSR1)
     while time.monotonic() < end:
         data = ingress.log.read_bytes()[before:]
@@ -39,61 +39,77 @@
             counts: dict[str, Any] = json.loads(data[at + len(COUNTS) : stop])
             return counts
         await asyncio.sleep(0.02)
-    raise AssertionError(f"{ingress.name} says nothing")
+    raise AssertionError(f"{ingress.name} did not log its counts")
 
 
 class Stand:
-    """A world whose ingresses talk, and what they say of it."""
+    """A running testbed whose instances gossip, and their counts."""
 
     def __init__(self, world: World, fleet: Fleet) -> None:
         self.world, self.fleet = world, fleet
 
-    async def say(self, ingress: Ingress) -> dict[str, Any]:
-        """Its counts by SIGUSR1."""
+    async def counts_of(self, ingress: Ingress) -> dict[str, Any]:
+        """Returns the counts of an instance."""
         return await counted(ingress)
 
     async def until(
-        self, numbers: set[int], holds: Callable[[dict[str, Any]], bool], why: str
-    ) -> Said:
-        """Asks these until it holds for each."""
-        end, said = time.monotonic() + PATIENCE, Said()
+        self, numbers: set[int], condition: Callable[[dict[str, Any]], bool], failure: str
+    ) -> FleetCounts:
+        """Waits until the condition is true of the counts of each of these instances.
+
+        Args:
+            numbers: The numbers of the instances.
+            condition: The condition on the counts of one instance.
+            failure: The message if the condition is not met in time.
+        """
+        end, counts = time.monotonic() + EVENT_TIMEOUT_S, FleetCounts()
         while time.monotonic() < end:
             rows = await asyncio.gather(
-                *(self.say(self.world.ingresses[n]) for n in sorted(numbers))
+                *(self.counts_of(self.world.ingresses[n]) for n in sorted(numbers))
             )
-            said = {n: row["fleet"] for n, row in zip(sorted(numbers), rows, strict=True)}
-            if all(map(holds, said.values())):
-                return said
+            counts = {n: row["fleet"] for n, row in zip(sorted(numbers), rows, strict=True)}
+            if all(map(condition, counts.values())):
+                return counts
             await asyncio.sleep(0.1)
-        raise AssertionError(f"{why}: {said}")
+        raise AssertionError(f"{failure}: {counts}")
 
-    async def event(self, holds: Callable[[], bool], why: str) -> None:
-        """Waits for what the lab itself sees."""
-        end = time.monotonic() + PATIENCE
-        while not holds():
-            assert time.monotonic() < end, why
+    async def event(self, condition: Callable[[], bool], failure: str) -> None:
+        """Waits until the condition, on the testbed's own state, is true."""
+        end = time.monotonic() + EVENT_TIMEOUT_S
+        while not condition():
+            assert time.monotonic() < end, failure
             await asyncio.sleep(0.02)
 
-    async def whole(self, count: int = COUNT) -> Said:
+    async def whole(self, count: int = COUNT) -> FleetCounts:
+        """Waits until each of the first `count` instances knows all others."""
         return await self.until(
-            set(range(count)), lambda f: f["there"] == count - 1, "not all found"
+            set(range(count)), lambda f: f["there"] == count - 1, "not all members were found"
         )
 
 
-async def play(
+async def run_case(
     deployment: Deployment,
     seconds: float | None,
     case: Callable[[Stand], Awaitable[None]],
     commands: dict[int, str] | None = None,
     seed: int = 5,
 ) -> World:
-    """Clients come for so long while `case` strikes; the invariant checker judges all of it.
-
-    None: for as long as the case takes, so that a busy machine does not cut it short.
+    """Runs the testbed's clients while `case` injects faults; returns the testbed.
+
+    Args:
+        deployment: The deployment under test.
+        seconds: Duration of the clients' traffic.  None lets it run until the case ends, so that a
+            busy machine does not cut the case short.
+        case: Injects faults and checks counts.
+        commands: Commands of instances by number, in place of the program under test.
+        seed: The seed of the run.
     """
     with tempfile.TemporaryDirectory(prefix="fleet-") as name:
-        # This interpreter, since the run line's own environment need not hold what [members] needs.
-        scenario = Scenario("fleet", LONGEST if seconds is None else seconds, seed, deployment)
+        # The run uses this interpreter, since the environment of the usual command may lack the
+        # packages that [members] needs.
+        scenario = Scenario(
+            "fleet", RUN_TIMEOUT_S if seconds is None else seconds, seed, deployment
+        )
         world = World(scenario, Path(name), f"exec {sys.executable} -m ingress")
         for number, command in (commands or {}).items():
             world.ingresses[number].command = command
@@ -102,12 +118,12 @@
             await fleet.open()
             await world.open()
             stand = Stand(world, fleet)
-            playing = asyncio.create_task(world.play())
+            traffic = asyncio.create_task(world.play())
             await case(stand)
             if seconds is None:
                 assert isinstance(world.customers, Customers)
                 world.customers.stop()
-            await playing
+            await traffic
         finally:
             await world.close()
             fleet.close()
@@ -122,10 +138,21 @@
     commands: dict[int, str] | None = None,
     **changes: Any,
 ) -> World:
+    """Runs a case and asserts the number of crashes and that no invariant was violated.
+
+    Args:
+        case: See `run_case`, as for `seconds` and `commands`.
+        seconds: Duration of the clients' traffic; None until the case ends.
+        crashes: The expected number of crashes.
+        commands: Commands of instances by number.
+        changes: Values of the deployment that differ from the default.
+    """
     deployment = Deployment(
         **{"ingresses": COUNT, "servers": 6, "rate": 60.0, "busy": 0.3} | changes
     )
-    world = uvloop.run(asyncio.wait_for(play(deployment, seconds, case, commands), LONGEST + 10.0))
+    world = uvloop.run(
+        asyncio.wait_for(run_case(deployment, seconds, case, commands), RUN_TIMEOUT_S + 10.0)
+    )
     assert len(world.crashes) == crashes, world.crashes
     verdict = judge(world.record, deployment)
     assert not verdict.breaches, [str(b) for b in verdict.breaches]
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several test modules share."""
+"""Helpers shared by several test modules."""
--- a/tests/support/applications.py
+++ b/tests/support/applications.py
@@ -1,4 +1,4 @@
-"""An ingress on loopback sockets, and a policy that does as a test says."""
+"""An ingress on loopback sockets, and a policy that returns scripted actions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 async def serving(
     settings: Config, clock: Clock | None = None
 ) -> AsyncIterator[tuple[Application, Any]]:
-    """Runs an ingress; yields it and the address at which it listens."""
+    """Runs an ingress; yields it and its listening address."""
     served = Application(settings, clock)
     stop = asyncio.Event()
     task = asyncio.create_task(served.run(stop))
@@ -33,7 +33,11 @@
 
 
 class ScriptedPolicy:
-    """A policy that records its events; `plan` returns the actions for each, or is None."""
+    """A policy that records its events.
+
+    Args:
+        plan: Returns the actions for an event; None for no actions.
+    """
 
     def __init__(self, plan: Any) -> None:
         self.plan = plan
@@ -41,7 +45,7 @@
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Returns what `plan` returns, and what it appended to `actions` itself."""
+        """Returns the actions that `plan` returned or appended to `actions`."""
         self.events.append(event)
         self.actions = []
         self.actions += self.plan(event) if self.plan else []
@@ -53,5 +57,5 @@
 
 
 def start_attempt(event: Event, backend: str = "s1") -> list[Action]:
-    """Returns the plan's actions that forward each new request to the backend."""
+    """Returns the actions that forward each new request to the backend; usable as a plan."""
     return [StartAttempt(event.request_id, backend)] if isinstance(event, RequestReceived) else []
--- a/tests/support/pools.py
+++ b/tests/support/pools.py
@@ -1,4 +1,4 @@
-"""A pool of connections to scripted backends, and the outcomes that it reports."""
+"""A pool of connections to scripted backends that records the reported outcomes."""
 
 from __future__ import annotations
 
@@ -17,20 +17,26 @@
 
 
 def make_command(*words: bytes) -> Command:
-    """Returns a call with this command as its wire form."""
+    """Returns a call that is encoded as this command."""
     return Command(list(words), "c7", "read", "basic", 2.0, 1.0, 1, 0, False, False, "")
 
 
 class PoolHarness:
-    """A pool under test, and the outcomes that it reports.
+    """A pool under test that records the reported outcomes.
+
+    The backends are named s0, s1 and so on, in the order of their addresses.
 
     Attributes:
-        outcomes: Number, outcome and value of each attempt that has ended, in order.
+        outcomes: Number, outcome and value of each ended attempt, in order.
         clock_offset: Seconds by which the pool's clock is ahead of the real one.
     """
 
     def __init__(
-        self, *addresses: Address, most: int = 8, timeout: float = 0.25, idle: float = 15.0
+        self,
+        *addresses: Address,
+        max_connections: int = 8,
+        connect_timeout: float = 0.25,
+        idle_timeout: float = 15.0,
     ) -> None:
         self.outcomes: list[tuple[int, Outcome, bytes | None]] = []
         self.clock_offset = 0.0
@@ -38,10 +44,10 @@
         clock = unix_clock()
         self.pool = BackendPool(
             RespBackendProtocol,
-            most,
+            max_connections,
             3 << 20,
-            timeout,
-            idle,
+            connect_timeout,
+            idle_timeout,
             1.0,
             lambda: clock() + self.clock_offset,
             self.record_outcome,
@@ -49,14 +55,14 @@
         self.update(*((Backend(f"s{number}"), address) for number, address in enumerate(addresses)))
 
     def update(self, *entries: tuple[Backend, Address], full: bool = True) -> None:
-        """Gives the pool these backends, as a full list or as changes."""
+        """Passes these backends to the pool, as a full list or as changes."""
         backends = tuple(backend for backend, _ in entries)
         self.pool.change(full, backends, {backend.id: address for backend, address in entries})
 
     def record_outcome(
         self, attempt: Attempt, outcome: Outcome, answer: bytes | None, load: Mapping[str, float]
     ) -> None:
-        """Takes an outcome that the pool reports."""
+        """Records an outcome that the pool reports."""
         self.outcomes.append((attempt.number, outcome, answer))
 
     def start(
@@ -70,6 +76,6 @@
         return attempt
 
     async def outcome(self, count: int = 1) -> Any:
-        """Waits until so many attempts have ended; returns outcome and value of the last."""
+        """Waits until `count` attempts have ended; returns the outcome and value of the last."""
         await until(lambda: len(self.outcomes) >= count)
         return self.outcomes[count - 1][1:]
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -1,4 +1,4 @@
-"""Peers and clocks with which a test brings about a rare moment."""
+"""Peers, timers and clocks with which a test reproduces a race."""
 
 from __future__ import annotations
 
@@ -25,21 +25,19 @@
 from tests.peers import SETTINGS, Address, Caller, config, resp, until
 from tests.support.applications import ScriptedPolicy, serving
 
-LONG_TIMEOUT_S = (
-    30.0  # of requests whose connection comes up with a repeated SYN, 1 s later or more
-)
+LONG_TIMEOUT_S = 30.0  # for requests whose connection needs a retransmitted SYN, 1 s later or more
 SLOW_CONNECT = SETTINGS | {
     "categories": [row | {"give-up-s": LONG_TIMEOUT_S} for row in SETTINGS["categories"]],
     "limits": SETTINGS["limits"] | {"connect-timeout-s": 10.0},
 }
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # the value of SO_LINGER
-MAX_MACHINE_DELAY_S = 0.4  # by which a busy machine may be late in a test
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a value of SO_LINGER
+MAX_MACHINE_DELAY_S = 0.4  # longest expected delay of a test on a busy machine
 
 
 class FullBacklogBackend:
-    """A backend whose backlog is full: connections come up only once it accepts them.
+    """A backend with a full backlog: connections are established only once it accepts them.
 
-    Until then the system of the caller repeats its attempts to connect by itself.
+    Until then the caller's operating system retransmits its SYN segments.
     """
 
     def __init__(self) -> None:
@@ -49,9 +47,9 @@
         self.listener.setblocking(False)
 
     async def accept(self, count: int) -> list[socket.socket]:
-        """Accepts so many connections, in whatever order they come up.
+        """Accepts `count` connections, in the order in which they are established.
 
-        The backlog holds them all from now on, so that none waits for another to be accepted.
+        The backlog is enlarged to hold all of them, so that none waits for another to be accepted.
         """
         self.listener.listen(1 + count)
         loop = asyncio.get_running_loop()
@@ -62,7 +60,7 @@
 
 @contextmanager
 def full_backlog_backend() -> Iterator[FullBacklogBackend]:
-    """Yields a backend with a full backlog, and closes its sockets."""
+    """Yields a backend with a full backlog; closes its sockets at the end."""
     peer = FullBacklogBackend()
     try:
         yield peer
@@ -72,7 +70,7 @@
 
 
 def unacknowledged_bytes(address: Address) -> int:
-    """Returns how much this process wrote to the address that the other side has not taken."""
+    """Returns the number of bytes sent to the address that the peer has not acknowledged."""
     count = 0
     for name in os.listdir("/proc/self/fd"):
         with suppress(OSError):
@@ -86,10 +84,10 @@
 
 
 async def received_bytes(served: Application, socks: list[socket.socket]) -> bytes:
-    """Returns all that was written on accepted connections, and closes them.
+    """Returns all bytes written to accepted connections, and closes them.
 
-    It waits until nothing is unacknowledged: what was written while the backlog was full may have
-    been dropped, and is sent again some tenths of a second after the connection was accepted.
+    Waits until every byte is acknowledged: bytes written while the backlog was full may have been
+    dropped, and are retransmitted some tenths of a second after the connection was accepted.
     """
     await until(lambda: not served.backends.connect_tasks)  # type: ignore[attr-defined]
     await until(lambda: not unacknowledged_bytes(socks[0].getsockname()))
@@ -103,14 +101,19 @@
 
 
 def send_now(caller: Caller, data: bytes) -> None:
-    """Writes in this turn of the event loop: it has arrived, and the ingress has not read it."""
+    """Writes to the socket directly, so that the data arrives before the ingress can read it."""
     sock = caller.writer.get_extra_info("socket")
     with socket.fromfd(sock.fileno(), socket.AF_INET, socket.SOCK_STREAM) as same:
         assert same.send(data) == len(data)
 
 
 def disconnect(caller: Caller, how: str) -> None:
-    """Ends a client's connection: its sending alone ("half"), with a reset, or in full."""
+    """Ends a client's connection.
+
+    Args:
+        caller: The client.
+        how: "half" ends only the sending side, "reset" resets the connection, "full" closes it.
+    """
     sock = caller.writer.get_extra_info("socket")
     if how == "half":
         caller.writer.write_eof()
@@ -121,7 +124,7 @@
 
 
 class ManualTimers:
-    """Timers that a test fires; only those shorter than an attempt's deadline are kept."""
+    """Timers that a test fires; only timers shorter than an attempt's deadline are kept."""
 
     def __init__(self) -> None:
         self.waiting: list[Callable[[], object]] = []
@@ -130,14 +133,19 @@
         self, delay: float, callback: Callable[..., object], *args: Any
     ) -> SimpleNamespace:
         """Keeps a short timer in `waiting`."""
-        if delay < 1.0:  # the others are the attempts' deadlines
+        if delay < 1.0:  # longer ones are deadlines of attempts
             self.waiting.append(partial(callback, *args))
         return SimpleNamespace(cancel=lambda: None)
 
 
 @asynccontextmanager
-async def holding_ingress() -> AsyncIterator[tuple[Application, Any, ScriptedPolicy, Any]]:
-    """Runs an ingress whose policy leaves all requests open; yields a function that fails them."""
+async def ingress_with_open_requests() -> AsyncIterator[
+    tuple[Application, Any, ScriptedPolicy, Any]
+]:
+    """Runs an ingress whose policy leaves all requests open.
+
+    Yields the ingress, its address, the policy and a function that fails the open requests.
+    """
     async with serving(config()) as (served, address):
         stub = ScriptedPolicy(None)
         served.exchange.policy = stub
@@ -151,17 +159,17 @@
 
 
 async def is_closed(caller: Caller) -> bool:
-    """Expects that the connection is closed without a further response."""
+    """Asserts that the connection is closed without a further response; returns True."""
     with pytest.raises((EOFError, ConnectionError)):
         await caller.answer()
     return True
 
 
 class StallingClock:
-    """A clock that goes on while nothing of the process runs.
+    """A clock that a test advances to simulate stalls of the process.
 
     Attributes:
-        stalled_for: Seconds for which the process has stalled so far.
+        stalled_for: Total seconds for which the process has stalled.
     """
 
     def __init__(self) -> None:
@@ -173,7 +181,7 @@
 
 
 async def connected_caller(address: Address) -> Caller:
-    """Returns a client whose connection has been read already."""
+    """Returns a client from whose connection the ingress has already read a request."""
     caller = await Caller.to(address)
     assert await caller.ask(resp(b"PING")) == b"PONG"
     return caller
--- a/tests/test_backend_pool.py
+++ b/tests/test_backend_pool.py
@@ -57,7 +57,7 @@
             for sock in fillers:
                 sock.setblocking(False)
                 sock.connect_ex(server.getsockname())
-            pool = PoolHarness(server.getsockname(), timeout=0.1)
+            pool = PoolHarness(server.getsockname(), connect_timeout=0.1)
             pool.start(wait=wait)
             assert await pool.outcome() == (Outcome.CONNECT_FAILED, None)
             await until(lambda: pool.pool.connection_count == 0)
@@ -208,7 +208,7 @@
 
     async def body() -> None:
         async with backend() as peer:
-            pool = PoolHarness(peer.address, idle=15.0)
+            pool = PoolHarness(peer.address, idle_timeout=15.0)
             pool.start()
             await pool.outcome()
             pool.clock_offset = 8.0
@@ -346,7 +346,7 @@
 def test_bounds_connections_over_all_backends() -> None:
     async def body() -> None:
         async with backend() as one, backend(b"") as silent:
-            pool = PoolHarness(one.address, silent.address, most=2)
+            pool = PoolHarness(one.address, silent.address, max_connections=2)
             pool.start("s0")
             await pool.outcome()
             pool.start("s1")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -276,7 +276,7 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            pool = PoolHarness(peer.address, idle=15.0)
+            pool = PoolHarness(peer.address, idle_timeout=15.0)
             pool.start()
             await pool.outcome()
             pool.clock_offset = 2.0
--- a/tests/test_shutdown_and_stalls.py
+++ b/tests/test_shutdown_and_stalls.py
@@ -30,7 +30,7 @@
     StallingClock,
     connected_caller,
     full_backlog_backend,
-    holding_ingress,
+    ingress_with_open_requests,
     is_closed,
     received_bytes,
     send_now,
@@ -39,7 +39,7 @@
 
 def test_answers_a_request_that_was_partial_when_the_drain_began() -> None:
     async def body() -> None:
-        async with holding_ingress() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (served, address, stub, fail_all):
             caller = await Caller.to(address)
             assert await caller.ask(resp(b"PING")) == b"PONG"
             data = command("late")
@@ -64,7 +64,7 @@
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
 
     async def body() -> None:
-        async with holding_ingress() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (served, address, stub, fail_all):
             caller = await Caller.to(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(10)))
             await until(lambda: len(stub.events_of(RequestReceived)) == 4)
@@ -82,7 +82,7 @@
     """It is in the system's buffer while the loop handles the drain, or the response before it."""
 
     async def body() -> None:
-        async with holding_ingress() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (served, address, stub, fail_all):
             idle = await Caller.to(address)
             busy = await Caller.to(address)
             for caller in (idle, busy):
@@ -105,7 +105,7 @@
 
 def test_answers_the_first_request_on_a_connection_accepted_before_the_drain() -> None:
     async def body() -> None:
-        async with holding_ingress() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (served, address, stub, fail_all):
             caller = await Caller.to(address)
             await until(lambda: served.clients.idle_connections.awaiting_first_request)
             served.clients.drain()
@@ -120,7 +120,7 @@
 
 def test_accepts_what_waits_in_the_backlog_when_the_drain_begins() -> None:
     async def body() -> None:
-        async with holding_ingress() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (served, address, stub, fail_all):
             served.clients.max_connections = 1
             first = await Caller.to(address)
             first.writer.write(command("first"))
@@ -146,7 +146,7 @@
     """Closing on what it has sent meanwhile would reset the connection, and lose responses."""
 
     async def body() -> None:
-        async with holding_ingress() as (served, address, stub, _):
+        async with ingress_with_open_requests() as (served, address, stub, _):
             caller = await Caller.to(address)
             caller.writer.write(command("one"))
             await until(lambda: stub.events_of(RequestReceived))
