--- a/tests/test_backend_pool.py
+++ b/tests/test_backend_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to backends: outcomes, reuse of connections, drains and limits."""
+"""The pool of backend connections: outcomes, reuse of connections, drains and limits."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.support.pools import READ_COMMAND, PoolHarness, make_command
 
 
-@pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
-def test_reports_reset_if_the_connection_ends_under_an_attempt(partly: bytes) -> None:
+@pytest.mark.parametrize("partial", [b"", b"*3\r\n$5\r\nhel"])
+def test_reports_reset_if_the_connection_ends_during_an_attempt(partial: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        writer.write(partly)
+        writer.write(partial)
 
     async def body() -> None:
         async with Peer(script) as peer:
@@ -47,12 +47,12 @@
 
 
 @pytest.mark.parametrize("wait", [5.0, 0.05])
-def test_reports_connect_failed_if_the_connection_does_not_come_up_in_time(wait: float) -> None:
+def test_reports_connect_failed_if_the_connection_is_not_established_in_time(wait: float) -> None:
     async def body() -> None:
         with socket.socket() as server:
             server.bind(("127.0.0.1", 0))
             server.listen(0)
-            # The backlog is full with these: further connections hear nothing.
+            # These fill the backlog, so that further connection attempts get no response.
             fillers = [socket.socket() for _ in range(4)]
             for sock in fillers:
                 sock.setblocking(False)
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_closes_the_connection_before_it_reports_a_cancelled_or_late_attempt(cancel: bool) -> None:
-    """Two attempts of a request are never in flight together, even for a turn of the loop."""
+    """A request never has two attempts in flight, not even for one iteration of the event loop."""
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
@@ -98,7 +98,7 @@
     run(body())
 
 
-def test_reuses_the_connection_that_was_used_last() -> None:
+def test_reuses_the_most_recently_used_connection() -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolHarness(peer.address)
@@ -116,7 +116,7 @@
     run(body())
 
 
-def test_does_not_reuse_a_connection_that_the_backend_has_ended() -> None:
+def test_does_not_reuse_a_connection_that_the_backend_has_closed() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
@@ -136,7 +136,7 @@
     run(body())
 
 
-def test_drops_a_response_that_no_request_asked_for() -> None:
+def test_drops_an_unsolicited_response_and_its_connection() -> None:
     async def body() -> None:
         async with backend(value(b"one") + value(b"two")) as peer:
             pool = PoolHarness(peer.address)
@@ -148,11 +148,11 @@
 
 
 @pytest.mark.interpreted
-def test_does_not_take_late_bytes_for_the_next_response(
+def test_does_not_mistake_late_bytes_for_the_next_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next request is there at once, but the connection is not used before it has settled."""
-    # A busy machine is late by more than 3 ms.
+    """The next request starts at once, but waits for the connection's settle time."""
+    # A busy machine may be late by more than 3 ms.
     monkeypatch.setattr(backend_pool, "SETTLE_TIME_S", 0.5)
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
@@ -160,13 +160,13 @@
             await read_command(reader)
             writer.write(value(b"%d" % number))
             if number == 0:
-                await until(lambda: len(made[0].outcomes) == 1)
+                await until(lambda: len(pools[0].outcomes) == 1)
                 writer.write(value(b"noise"))
 
     async def body() -> None:
         async with Peer(script) as peer:
             pool = PoolHarness(peer.address)
-            made.append(pool)
+            pools.append(pool)
             report_outcome = pool.pool.report_outcome
 
             def ended(*words: Any) -> None:
@@ -179,11 +179,11 @@
             assert await pool.outcome() == (Outcome.OK, b"0")
             assert await pool.outcome(2) == (Outcome.OK, b"1")
 
-    made: list[PoolHarness] = []
+    pools: list[PoolHarness] = []
     run(body())
 
 
-def test_bounds_incomplete_responses_over_all_connections() -> None:
+def test_limits_incomplete_responses_over_all_connections() -> None:
     async def body() -> None:
         async with backend(b"*3\r\n$900000\r\n" + b"x" * 800_000) as peer:
             pool = PoolHarness(peer.address)
@@ -220,8 +220,8 @@
     run(body())
 
 
-def test_does_not_reuse_a_connection_idle_for_as_long_as_one_that_broke() -> None:
-    """The backend drops a connection that was idle, and the first sign of it is a reset."""
+def test_does_not_reuse_a_connection_idle_for_as_long_as_one_that_was_reset() -> None:
+    """The backend drops an idle connection, and a reset of the next request is the first sign."""
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         for count in range(4):
@@ -240,7 +240,7 @@
             assert await pool.outcome(2) == (Outcome.RESET, None)
             pool.start()
             assert await pool.outcome(3) == (Outcome.OK, b"1")
-            pool.clock_offset = 3.0  # idle for 1 s: shorter than what broke
+            pool.clock_offset = 3.0  # idle for 1 s: shorter than the connection that was reset
             pool.start()
             assert await pool.outcome(4) == (Outcome.OK, b"1")
             pool.clock_offset = 5.0
@@ -251,11 +251,11 @@
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
-def test_writes_nothing_new_after_the_grace_of_a_drain(readiness: Readiness) -> None:
+def test_writes_no_request_after_the_grace_period_of_a_drain(readiness: Readiness) -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolHarness(peer.address)
-            pool.start()  # its connection comes up after the grace has run out
+            pool.start()  # its connection is established after the grace period
             pool.update((Backend("s0", readiness=readiness), peer.address), full=False)
             pool.clock_offset = 1.0
             assert await pool.outcome() == (Outcome.CONNECT_FAILED, None)
@@ -269,7 +269,7 @@
     run(body())
 
 
-def test_forgets_a_backend_that_a_full_list_omits() -> None:
+def test_removes_a_backend_that_is_absent_from_a_full_list() -> None:
     async def body() -> None:
         async with backend() as peer, backend() as other:
             pool = PoolHarness(peer.address, other.address)
@@ -285,7 +285,7 @@
     run(body())
 
 
-def test_does_not_reuse_a_connection_whose_backend_has_moved_meanwhile() -> None:
+def test_does_not_reuse_a_connection_whose_backend_moved_during_the_request() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         old.commands.append(await read_command(reader))
         await until(lambda: moved)
@@ -329,10 +329,10 @@
             pool = PoolHarness(peer.address)
             real = socket.socket
 
-            def none_left(*_: object) -> None:
+            def fail(*_: object) -> None:
                 raise OSError(errno.EMFILE, "too many open files")
 
-            monkeypatch.setattr(socket, "socket", none_left)
+            monkeypatch.setattr(socket, "socket", fail)
             pool.start()
             assert await pool.outcome() == (Outcome.SUPERSEDED, None)
             monkeypatch.setattr(socket, "socket", real)
@@ -343,16 +343,16 @@
     run(body())
 
 
-def test_bounds_connections_over_all_backends() -> None:
+def test_limits_connections_over_all_backends() -> None:
     async def body() -> None:
         async with backend() as one, backend(b"") as silent:
             pool = PoolHarness(one.address, silent.address, max_connections=2)
             pool.start("s0")
             await pool.outcome()
             pool.start("s1")
-            pool.start("s1")  # takes the place of the idle connection to the other
+            pool.start("s1")  # replaces the idle connection to the other backend
             pool.start("s1")
-            assert await pool.outcome(2) == (Outcome.SUPERSEDED, None)  # no fault of the backend's
+            assert await pool.outcome(2) == (Outcome.SUPERSEDED, None)  # not a backend failure
             await until(lambda: len(silent.commands) == 2)
             assert pool.pool.connection_count == 2
             assert pool.outcomes[-1][0] == 3
@@ -361,7 +361,7 @@
 
 
 def test_does_not_write_an_attempt_after_its_deadline() -> None:
-    """The process stalled while the connection came up, and the timer is not served yet."""
+    """The process stalls while the connection is opened, and the timer has not run yet."""
 
     async def body() -> None:
         async with backend(value(b"hello")) as peer:
@@ -374,9 +374,8 @@
             assert late.connection is None
             now = pool.pool.clock()
             good = Attempt("r", 7, "s0", now, now + 3.0, make_command(*READ_COMMAND))
-            good.on_written = lambda attempt: written.append(
-                attempt.number
-            )  # before it may be written at once
+            # Set before the start, which may write the attempt immediately.
+            good.on_written = lambda attempt: written.append(attempt.number)
             pool.pool.start(good)
             assert await pool.outcome(2) == (Outcome.OK, b"hello")
             assert written == [7]
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""The connections of clients: their limits, timeouts and back-pressure, on sockets."""
+"""Client connections on sockets: limits, timeouts and back-pressure."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 
 @pytest.mark.interpreted
-def test_reads_no_further_than_the_maximum_of_pipelined_requests(
+def test_stops_reading_at_the_maximum_number_of_pipelined_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
-    most = 0
+    max_open = 0
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
 
             def plan(event: Event) -> list[Action]:
-                nonlocal most
-                most = max(most, len(served.exchange.open_requests))
+                nonlocal max_open
+                max_open = max(max_open, len(served.exchange.open_requests))
                 return start_attempt(event)
 
             served.exchange.policy = ScriptedPolicy(plan)
@@ -52,13 +52,13 @@
             assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
 
     run(body())
-    assert most == 4
+    assert max_open == 4
 
 
 def test_evicts_an_idle_connection_at_the_connection_limit() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
-            served.clients.max_connections = 3  # one descriptor is kept free
+            served.clients.max_connections = 3  # one place is kept free
             callers = [await Caller.to(address) for _ in range(2)]
             for caller in callers:
                 assert await caller.ask(resp(b"PING")) == b"PONG"
@@ -93,10 +93,10 @@
 
 
 @pytest.mark.interpreted
-def test_single_bytes_do_not_prolong_the_time_for_a_request(
+def test_single_bytes_do_not_extend_the_timeout_of_a_partial_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time of a partial request runs from its first byte, not from its latest."""
+    """The timeout of a partial request runs from its first byte, not from its latest."""
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 0.3)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.interpreted
-def test_closes_an_idle_connection_and_not_one_with_an_open_request(
+def test_closes_an_idle_connection_but_not_one_with_an_open_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 0.05)
@@ -124,7 +124,7 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
-        await until(lambda: ended)
+        await until(lambda: idle_closed)
         writer.write(value(words[2]))
         await reader.read()
 
@@ -136,10 +136,10 @@
             assert await idle.ask(resp(b"PING")) == b"PONG"
             with pytest.raises((EOFError, ConnectionError)):
                 await idle.answer()
-            ended.append(True)
+            idle_closed.append(True)
             assert await busy.answer() == b"busy"
 
-    ended: list[bool] = []
+    idle_closed: list[bool] = []
     run(body())
 
 
@@ -168,8 +168,8 @@
     run(body())
 
 
-def test_does_not_evict_a_connection_that_was_just_accepted() -> None:
-    """Many clients at once: those beyond the limit wait in the backlog, and none is closed."""
+def test_does_not_evict_a_newly_accepted_connection() -> None:
+    """Many clients connect at once; those beyond the limit wait in the backlog, none is closed."""
 
     async def body() -> None:
         async with serving(config()) as (served, address):
@@ -187,7 +187,7 @@
 
 @pytest.mark.interpreted
 def test_evicts_silent_connections_before_used_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of hundreds of connections the silent ones are closed, and those with requests stay."""
+    """Of hundreds of connections the silent ones are closed, and those with requests stay open."""
     monkeypatch.setattr(idle_connections, "MIN_SILENCE_BEFORE_EVICTION_S", 0.0)
 
     async def body() -> None:
@@ -208,10 +208,10 @@
 
 
 @pytest.mark.interpreted
-def test_evicts_silent_connections_before_one_in_the_middle_of_a_request(
+def test_evicts_silent_connections_before_one_with_a_partial_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a slow client that loses its half sent request to others that send nothing."""
+    """Guards against evicting a slow client with a partial request in favour of silent ones."""
     monkeypatch.setattr(idle_connections, "MIN_SILENCE_BEFORE_EVICTION_S", 0.0)
 
     async def body() -> None:
@@ -248,10 +248,10 @@
 
 
 @pytest.mark.interpreted
-def test_delivers_the_last_error_while_the_client_goes_on_sending(
+def test_delivers_the_last_error_while_the_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """60 MB follow a length that is rejected: little of it is read, and the client sees why."""
+    """60 MB follow a rejected length; little of them is read, and the client reads the error."""
     monkeypatch.setattr(client_connection, "LINGER_TIME_S", 0.2)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -269,7 +269,7 @@
     run(body())
 
 
-def test_bounds_partial_requests_over_all_connections() -> None:
+def test_limits_partial_requests_over_all_connections() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             served.clients.max_buffered_bytes = 100_000
@@ -290,7 +290,7 @@
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
             busy.sendall(resp(b"PING"))
-            served.clients.drain()  # before the loop has seen either of them
+            served.clients.drain()  # before the event loop has accepted either of them
             loop = asyncio.get_running_loop()
             for sock in (idle, busy):
                 sock.setblocking(False)
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -1,4 +1,4 @@
-"""A process that is held up between reading its clock and writing."""
+"""A process that is delayed between reading the clock and writing a request."""
 
 from __future__ import annotations
 
@@ -22,8 +22,14 @@
 }
 
 
-class HeldUp:
-    """Holds a process up as it encodes a request: the clock was read, and nothing is written."""
+class EncodingDelay:
+    """Delays the process while it encodes a request, after the clock is read and before the write.
+
+    The first request after `written_at` is cleared is not delayed.
+
+    Attributes:
+        written_at: The time at which each request was encoded, after its delay.
+    """
 
     def __init__(self, clock: StallingClock, monkeypatch: pytest.MonkeyPatch) -> None:
         self.clock = clock
@@ -42,18 +48,18 @@
 
 @pytest.mark.interpreted
 @pytest.mark.parametrize(("before_the_end_s", "writes"), [(0.01, 1), (0.1, 1), (0.14, 1), (0.3, 2)])
-def test_a_retry_is_written_within_the_window_though_the_process_is_held_up(
+def test_no_retry_is_written_after_the_deduplication_window_by_a_delayed_process(
     before_the_end_s: float, writes: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against an effect twice: a retry whose key is forgotten as its bytes leave."""
+    """Guards against a repeated effect: a retry written after the backend dropped its key."""
 
     async def body() -> None:
         clock = StallingClock()
-        held_up = HeldUp(clock, monkeypatch)
+        delay = EncodingDelay(clock, monkeypatch)
 
         def plan(event: Event) -> list[Action]:
             if isinstance(event, AttemptEnded) and event.attempt == 0:
-                end = held_up.written_at[0] + WINDOW_S
+                end = delay.written_at[0] + WINDOW_S
                 clock.stalled_for += end - before_the_end_s - clock()
                 return [StartAttempt(event.request_id, "s2")]
             return start_attempt(event)
@@ -68,22 +74,22 @@
             stub = ScriptedPolicy(partial(start_attempt, backend="s2"))
             served.exchange.policy = stub
             caller = await Caller.to(address)
-            # The second backend's connection is up already.
+            # Open the connection to the second backend in advance.
             await caller.ask(command("warm"))
             stub.plan = plan
-            held_up.written_at.clear()
+            delay.written_at.clear()
             caller.writer.write(command("a", "order"))
             await until(lambda: len(stub.events_of(AttemptEnded)) == 3)
-            assert len(held_up.written_at) == writes
-            assert held_up.written_at[-1] <= held_up.written_at[0] + WINDOW_S
+            assert len(delay.written_at) == writes
+            assert delay.written_at[-1] <= delay.written_at[0] + WINDOW_S
             expected = Outcome.OK if writes == 2 else Outcome.CONNECT_FAILED
             assert stub.events_of(AttemptEnded)[-1].outcome is expected
 
     run(body())
 
 
-def test_a_draining_backend_gets_nothing_after_its_grace_though_the_process_is_held_up() -> None:
-    """Guards against a request after the grace: the drain was read late, and the write is late."""
+def test_no_request_is_written_after_the_drain_grace_period_by_a_delayed_process() -> None:
+    """Guards against a late request: the drain is read late, and the write is delayed as well."""
 
     async def body() -> None:
         async with backend(value(b"hello")) as peer:
@@ -91,7 +97,8 @@
             pool.start()
             await pool.outcome()
             pool.update((Backend("s0", readiness=Readiness.DRAINING), peer.address), full=False)
-            # The agent may have had the drain for half of the grace, which is a second.
+            # The agent may have received the drain half a grace period earlier; the grace period is
+            # 1 s.
             pool.clock_offset = 1.0 - 0.5 - MAX_HOLD_UP_S + 0.01
             pool.start()
             assert (await pool.outcome(2))[0] is Outcome.CONNECT_FAILED
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress on sockets: clients, the real policy, scripted backends."""
+"""The complete ingress on sockets, with clients, the real policy and scripted backends."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         writer.write(value(words[4]))
         await reader.read()
 
-    async def play() -> None:
+    async def exchange() -> None:
         async with peer, serving(config(entry(peer.address))) as (_, address):
             caller = await Caller.to(address)
             assert await caller.ask(command(cls="order", body=body)) == body
@@ -69,7 +69,7 @@
             assert b"k=0123456789abcdef" in words[3].split(b",")
 
     peer = Peer(script)
-    run(play())
+    run(exchange())
 
 
 def test_responses_keep_the_order_of_pipelined_requests() -> None:
@@ -93,10 +93,10 @@
     run(body())
 
 
-def swap(old: bytes, new: bytes) -> bytes:
-    """Returns a command with other names and values, whose length is right."""
-    names = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
-    return resp(b"API.READ", b"%016x" % 7, b"id", names.replace(old, new))
+def command_with(old: bytes, new: bytes) -> bytes:
+    """Returns a command with one field replaced and correct lengths."""
+    fields = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
+    return resp(b"API.READ", b"%016x" % 7, b"id", fields.replace(old, new))
 
 
 @pytest.mark.parametrize(
@@ -111,16 +111,16 @@
         (command().replace(b"units=1", b"units=0"), "units"),
         (command().replace(b"spread=1", b"spread=_"), "spread"),
         (command().replace(b"first=0", b"first=-"), "first"),
-        (swap(b"first=0", b"first=1"), "first"),
-        (swap(b"spread=1", b"spread=2"), "spread"),
-        (swap(b"spread=1", b"spread=0"), "spread"),
+        (command_with(b"first=0", b"first=1"), "first"),
+        (command_with(b"spread=1", b"spread=2"), "spread"),
+        (command_with(b"spread=1", b"spread=0"), "spread"),
         *(
-            (swap(b"units=1", b"units=" + units), "bad number: units")
+            (command_with(b"units=1", b"units=" + units), "bad number: units")
             for units in (b"2", b"nan", b"inf", b"1_0", b"1e0", b"-1", b"+1", b" 1", b"")
         ),
         (command(d=0), "bad number: d"),
         (command(d=4001), "bad number: d"),
-        (swap(b"d=2", b"d=-2"), "bad number: d"),
+        (command_with(b"d=2", b"d=-2"), "bad number: d"),
         (command(extra=",d=5"), "twice"),
         (command(extra=",r=2"), "bad number: r"),
         (command(""), "no id"),
@@ -171,18 +171,18 @@
         b"x" * 100,
     ],
 )
-def test_closes_after_a_malformed_frame_once_owed_responses_are_sent(data: bytes) -> None:
-    made: list[Application] = []
+def test_closes_after_a_malformed_frame_once_pending_responses_are_sent(data: bytes) -> None:
+    applications: list[Application] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: made[0].clients.malformed_requests.count)
+        await until(lambda: applications[0].clients.malformed_requests.count)
         writer.write(value(b"served"))
         await reader.read()
 
     async def body() -> None:
         async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            made.append(served)
+            applications.append(served)
             caller = await Caller.to(address)
             caller.writer.write(command() + data)
             assert await caller.answer() == b"served"
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_responds_by_the_deadline_though_policy_and_backend_are_silent(sent: bool) -> None:
+def test_responds_by_the_deadline_even_if_policy_and_backend_are_silent(sent: bool) -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
             stub = ScriptedPolicy(start_attempt if sent else None)
@@ -280,10 +280,10 @@
     run(body())
 
 
-def test_exception_in_the_policy_fails_one_request_alone(
+def test_exception_in_the_policy_fails_only_one_request(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Actions from before the exception are carried out, the next timer above all."""
+    """Actions from before the exception are carried out, in particular the next timer."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
@@ -291,7 +291,7 @@
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.customer.endswith("9"):
                     stub.actions.append(SetTimer(0.0, 5))
-                    raise RuntimeError("a fault")
+                    raise RuntimeError("policy fault")
                 return start_attempt(event)
 
             stub = ScriptedPolicy(plan)
@@ -317,7 +317,7 @@
         ):
 
             def plan(event: Event) -> list[Action]:
-                if isinstance(event, TimerFired):  # not one that the replaced policy had set
+                if isinstance(event, TimerFired):  # the replaced policy's timers may fire too
                     return [StartAttempt("1", "s2")] if event.token == 77 else []
                 return (
                     [*start_attempt(event), SetTimer(0.1, 77)]
@@ -338,7 +338,7 @@
     run(body())
 
 
-def test_supersedes_an_attempt_after_the_end_or_beyond_the_maximum() -> None:
+def test_supersedes_an_attempt_after_the_request_ended_or_beyond_the_maximum() -> None:
     async def body() -> None:
         async with (
             backend(b"-ERR failed\r\n") as peer,
@@ -346,8 +346,8 @@
         ):
 
             def plan(event: Event) -> list[Action]:
-                again = isinstance(event, AttemptEnded) and not event.finished and event.attempt < 4
-                return [StartAttempt(event.request_id, "s1")] if again else start_attempt(event)  # type: ignore[union-attr]
+                retry = isinstance(event, AttemptEnded) and not event.finished and event.attempt < 4
+                return [StartAttempt(event.request_id, "s1")] if retry else start_attempt(event)  # type: ignore[union-attr]
 
             stub = ScriptedPolicy(plan)
             served.exchange.policy = stub
@@ -359,7 +359,7 @@
     run(body())
 
 
-def test_rejects_beyond_the_maximum_of_open_requests() -> None:
+def test_rejects_requests_beyond_the_maximum_of_open_requests() -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
             served.exchange.max_open_requests = 1
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -1,4 +1,4 @@
-"""Races, each brought about every time: peers hold, release and cut at a stated point."""
+"""Races, each reproduced deterministically: peers delay, continue or disconnect at a set point."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
     unacknowledged_bytes,
 )
 
-CLIENT_GONE_TERM_S = 0.1  # after its client has gone no attempt of a request may begin
+DISCONNECT_LIMIT_S = 0.1  # after a client's disconnection no attempt of its requests may start
 
 
-def test_unacknowledged_bytes_counts_what_the_other_side_has_not_taken() -> None:
+def test_unacknowledged_bytes_counts_bytes_that_the_peer_has_not_received() -> None:
     with (
         socket.create_server(("127.0.0.1", 0)) as listener,
         socket.create_connection(listener.getsockname()) as sock,
@@ -62,12 +62,12 @@
         sock.setblocking(False)
         with suppress(BlockingIOError):
             while True:
-                sock.send(bytes(1 << 16))  # nobody reads: the other side is full some time
+                sock.send(bytes(1 << 16))  # nobody reads, so the receive buffer fills up
         assert unacknowledged_bytes(listener.getsockname()) > 0
 
 
 @pytest.mark.parametrize("how", ["full", "half", "reset"])
-def test_forwards_nothing_of_a_client_that_disconnects_while_a_connection_comes_up(
+def test_does_not_forward_a_request_whose_client_disconnects_while_a_connection_is_opened(
     how: str,
 ) -> None:
     async def body() -> None:
@@ -78,13 +78,13 @@
             ):
                 stub = ScriptedPolicy(start_attempt)
                 served.exchange.policy = stub
-                left = await Caller.to(address)
-                stays = await Caller.to(address)
-                left.writer.write(command("left"))
+                leaving = await Caller.to(address)
+                staying = await Caller.to(address)
+                leaving.writer.write(command("left"))
                 await until(lambda: served.backends.connection_count == 1)  # type: ignore[attr-defined]
-                disconnect(left, how)
+                disconnect(leaving, how)
                 await until(lambda: stub.events_of(ClientDisconnected))
-                stays.writer.write(command("stays", d=int(1000 * LONG_TIMEOUT_S)))
+                staying.writer.write(command("stays", d=int(1000 * LONG_TIMEOUT_S)))
                 await until(lambda: len(stub.events_of(RequestReceived)) == 2)
                 data = await received_bytes(served, await slow.accept(2))
                 assert b"stays" in data
@@ -94,18 +94,18 @@
     run(body())
 
 
-def test_forwards_nothing_of_a_client_that_disconnects_before_a_connection_settles() -> None:
-    """Its attempt waits for the connection to settle, and is withdrawn in the same turn."""
+def test_does_not_forward_a_request_whose_client_disconnects_during_the_settle_time() -> None:
+    """The attempt waits for the connection's settle time and is withdrawn meanwhile."""
 
     async def body() -> None:
         async with backend() as peer:
             pool = PoolHarness(peer.address)
             pool.start()
             await until(lambda: pool.outcomes)
-            left = pool.start(words=(b"API.READ", b"c7", b"left", b"c=read,d=2000,t=basic"))
-            assert left.connection is None
+            withdrawn = pool.start(words=(b"API.READ", b"c7", b"left", b"c=read,d=2000,t=basic"))
+            assert withdrawn.connection is None
             assert pool.pool.connection_count == 1
-            pool.pool.withdraw(left)
+            pool.pool.withdraw(withdrawn)
             assert pool.outcomes[1][1] is Outcome.SUPERSEDED
             pool.start(words=(b"API.READ", b"c7", b"stays", b"c=read,d=2000,t=basic"))
             assert await pool.outcome(3) == (Outcome.OK, b"stays")
@@ -119,15 +119,15 @@
 
 
 @pytest.mark.interpreted
-def test_looks_for_hangups_twice_within_the_time_after_which_nothing_may_begin() -> None:
-    """Guards against an attempt for a client that has gone, begun while a late poll is awaited."""
+def test_polls_for_hangups_twice_within_the_disconnect_limit() -> None:
+    """Guards against a late poll that lets an attempt start after its client disconnected."""
     delays: list[float] = []
     loop = SimpleNamespace(call_later=lambda delay, _: delays.append(delay))
     watcher = HangupWatcher(loop)  # type: ignore[arg-type]
     with socket.socket() as sock:
         watcher.watch(SimpleNamespace(sock=sock))  # type: ignore[arg-type]
     assert len(delays) == 1
-    assert 0.0 < 2 * delays[0] < CLIENT_GONE_TERM_S
+    assert 0.0 < 2 * delays[0] < DISCONNECT_LIMIT_S
 
 
 @pytest.mark.interpreted
@@ -136,7 +136,7 @@
 def test_notices_a_disconnect_while_reading_is_paused(
     how: str, why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """More is unread before the end than may be read, so the loop never reports the end."""
+    """More input is unread than may be read, so the event loop never reports the disconnection."""
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 1e9)
 
@@ -151,7 +151,7 @@
             if why == "full":
                 caller.writer.write(b"".join(command(f"{n:040}") for n in range(4000)))
             else:
-                client.pause_writing()  # its answers are not read
+                client.pause_writing()  # as if the client did not read its responses
                 caller.writer.write(command("second"))
             await until(lambda: client.reading_paused)
             disconnect(caller, how)
@@ -179,9 +179,8 @@
 
     def plan(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and not event.finished and event.attempt == 0:
-            return [
-                StartAttempt(event.request_id, "s2")
-            ]  # within the window, as the policy decides
+            # Within the deduplication window at the time of the policy's decision.
+            return [StartAttempt(event.request_id, "s2")]
         return start_attempt(event)
 
     async def body() -> None:
@@ -194,23 +193,23 @@
                     caller = await Caller.to(address)
                     caller.writer.write(command("a", "order", d=30_000))
                     await until(lambda: stub.events_of(AttemptEnded))
-                    over = served.exchange.clock() + 0.5
-                    await until(lambda: served.exchange.clock() > over)
+                    window_end = served.exchange.clock() + 0.5
+                    await until(lambda: served.exchange.clock() > window_end)
                     assert await received_bytes(served, await slow.accept(1)) == b""
                     assert stub.events_of(AttemptEnded)[1].outcome is Outcome.CONNECT_FAILED
 
     run(body())
 
 
-def test_late_duplicate_of_a_response_is_served_to_nobody() -> None:
-    """It comes 10 ms after the first, when the next request waits for that connection."""
-    go = asyncio.Event()
+def test_late_duplicate_of_a_response_is_discarded() -> None:
+    """It arrives 10 ms after the first, while the next request waits for that connection."""
+    duplicate_due = asyncio.Event()
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         writer.write(value(words[2]))
         if number == 0:
-            await go.wait()
+            await duplicate_due.wait()
             writer.write(value(words[2]))
         await asyncio.Event().wait()
 
@@ -221,15 +220,13 @@
             pool.pool.timers = timers
             pool.start()
             assert await pool.outcome() == (Outcome.OK, b"r1")
-            [target] = pool.pool.endpoints.values()
-            pool.clock_offset += (
-                target.idle[0].idle_since + 0.009 - pool.pool.clock()
-            )  # 9 ms after it
+            [endpoint] = pool.pool.endpoints.values()
+            # 9 ms after the response.
+            pool.clock_offset += endpoint.idle[0].idle_since + 0.009 - pool.pool.clock()
             pool.start(words=(b"API.READ", b"c7", b"two", b"c=read,d=2000,t=basic"))
-            go.set()
-            await until(
-                lambda: pool.pool.connection_count == 0 or len(pool.outcomes) == 2
-            )  # the duplicate came
+            duplicate_due.set()
+            # Until the duplicate has arrived.
+            await until(lambda: pool.pool.connection_count == 0 or len(pool.outcomes) == 2)
             pool.clock_offset += 0.02
             for fire in timers.waiting:
                 fire()
@@ -239,7 +236,7 @@
 
 
 def test_does_not_use_an_idle_connection_to_an_earlier_incarnation() -> None:
-    """A host vanished and is back: its old connections stay open and silent."""
+    """A host that crashed and restarted leaves its old connections open and silent."""
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -265,14 +262,14 @@
 
 
 def test_idle_limit_recovers_after_one_broken_connection() -> None:
-    """A backend that crashed looks like one that drops idle connections early."""
+    """A crash of a backend looks like a backend that drops idle connections early."""
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         if number == 0:
             writer.write(value(b"hello"))
             await read_command(reader)
-            writer.transport.abort()  # under the request that came after a rest
+            writer.transport.abort()  # during the request that follows an idle period
 
     async def body() -> None:
         async with Peer(script) as peer:
@@ -282,12 +279,12 @@
             pool.clock_offset = 2.0
             pool.start()
             assert (await pool.outcome(2))[0] is Outcome.RESET
-            taught = pool.pool.idle_limit.seconds
-            assert 1.0 < taught < 2.0
+            lowered = pool.pool.idle_limit.seconds
+            assert 1.0 < lowered < 2.0
             for _ in range(int(2 * IDLE_LIMIT_DOUBLING_TIME_S / SWEEP_INTERVAL_S)):
                 pool.pool.sweep_timer.cancel()
                 pool.pool._sweep()
-            assert 3.9 < pool.pool.idle_limit.seconds / taught < 4.1
+            assert 3.9 < pool.pool.idle_limit.seconds / lowered < 4.1
             for _ in range(int(4 * IDLE_LIMIT_DOUBLING_TIME_S / SWEEP_INTERVAL_S)):
                 pool.pool.sweep_timer.cancel()
                 pool.pool._sweep()
--- a/tests/test_shutdown_and_stalls.py
+++ b/tests/test_shutdown_and_stalls.py
@@ -1,4 +1,4 @@
-"""Requests that wait while the ingress shuts down, or while its process stalls."""
+"""Requests that wait during a graceful shutdown or a stall of the process."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 def test_answers_requests_read_beyond_the_pipeline_limit_in_a_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The pipelined requests all get responses at once, and the rest is read behind them."""
+    """The pipelined requests are all answered at once, and the other ones are read after them."""
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
 
     async def body() -> None:
@@ -69,8 +69,8 @@
             caller.writer.write(b"".join(command(str(n)) for n in range(10)))
             await until(lambda: len(stub.events_of(RequestReceived)) == 4)
             served.clients.drain()
-            for most in (4, 8, 10):
-                await until(lambda most=most: len(stub.events_of(RequestReceived)) == most)  # type: ignore[misc]
+            for count in (4, 8, 10):
+                await until(lambda count=count: len(stub.events_of(RequestReceived)) == count)  # type: ignore[misc]
                 fail_all()
             assert [str(await caller.answer()) for _ in range(10)] == ["ERR failed"] * 10
             assert await is_closed(caller)
@@ -79,7 +79,7 @@
 
 
 def test_answers_a_request_that_arrived_before_its_connection_is_closed() -> None:
-    """It is in the system's buffer while the loop handles the drain, or the response before it."""
+    """It is in the socket buffer while the drain or the response to the previous one is handled."""
 
     async def body() -> None:
         async with ingress_with_open_requests() as (served, address, stub, fail_all):
@@ -118,7 +118,7 @@
     run(body())
 
 
-def test_accepts_what_waits_in_the_backlog_when_the_drain_begins() -> None:
+def test_accepts_connections_waiting_in_the_backlog_when_the_drain_begins() -> None:
     async def body() -> None:
         async with ingress_with_open_requests() as (served, address, stub, fail_all):
             served.clients.max_connections = 1
@@ -142,26 +142,26 @@
     run(body())
 
 
-def test_delivers_last_responses_to_a_client_that_goes_on_sending() -> None:
-    """Closing on what it has sent meanwhile would reset the connection, and lose responses."""
+def test_delivers_last_responses_to_a_client_that_keeps_sending() -> None:
+    """Closing a socket with unread input would reset the connection and lose the responses."""
 
     async def body() -> None:
         async with ingress_with_open_requests() as (served, address, stub, _):
             caller = await Caller.to(address)
             caller.writer.write(command("one"))
             await until(lambda: stub.events_of(RequestReceived))
-            send_now(caller, command("two"))  # not read yet when the end comes
+            send_now(caller, command("two"))  # not read yet when the listener closes
             served.exchange.fail_open_requests()
             served.clients.close()
             assert str(await caller.answer()) == "ERR failed"
-            assert not await caller.reader.read()  # an end, no reset
+            assert not await caller.reader.read()  # end of stream, not a reset
             caller.writer.close()
             await until(lambda: served.clients.empty())
 
     run(body())
 
 
-def test_does_not_forward_a_failed_request_once_its_connection_is_up() -> None:
+def test_does_not_forward_a_request_that_failed_while_its_connection_was_opened() -> None:
     async def body() -> None:
         with full_backlog_backend() as slow:
             async with serving(config(entry(slow.address), settings=SLOW_CONNECT)) as (
@@ -184,25 +184,25 @@
     run(body())
 
 
-def test_a_stall_of_the_process_counts_against_the_time_of_waiting_requests() -> None:
-    """On an open connection, and on more new ones than are accepted in one turn of the loop."""
+def test_a_stall_counts_against_the_timeout_of_waiting_requests() -> None:
+    """Covers an open connection, and more new ones than one loop iteration accepts."""
 
     async def body() -> None:
-        still = StallingClock()
-        async with serving(config(), still) as (served, address):
+        clock = StallingClock()
+        async with serving(config(), clock) as (served, address):
             stub = ScriptedPolicy(None)
             served.exchange.policy = stub
             caller = await connected_caller(address)
             send_now(caller, command("old"))
-            more = [
+            new = [
                 socket.create_connection(address) for _ in range(3 * client_listener.ACCEPT_BATCH)
             ]
-            for number, sock in enumerate(more):
+            for number, sock in enumerate(new):
                 sock.sendall(command(f"new-{number}"))
-            still.stalled_for += 1.2
-            await until(lambda: len(stub.events_of(RequestReceived)) == 1 + len(more))
+            clock.stalled_for += 1.2
+            await until(lambda: len(stub.events_of(RequestReceived)) == 1 + len(new))
             margin = 0.02
-            for event in stub.events_of(RequestReceived):  # each asked for 2 s
+            for event in stub.events_of(RequestReceived):  # each has a timeout of 2 s
                 assert (
                     0.8 - client_listener.SWEEP_INTERVAL_S - 2 * margin - MAX_MACHINE_DELAY_S
                     < event.time_left
@@ -210,25 +210,25 @@
                 )
             await until(lambda: served.clients.stall_detector.stalled_since is None)
             caller.writer.write(command("after"))
-            await until(lambda: len(stub.events_of(RequestReceived)) == 2 + len(more))
+            await until(lambda: len(stub.events_of(RequestReceived)) == 2 + len(new))
             assert stub.events_of(RequestReceived)[-1].time_left == 2.0 - margin
-            for sock in more:
+            for sock in new:
                 sock.close()
 
     run(body())
 
 
 @pytest.mark.interpreted
-def test_what_is_accepted_after_a_stall_is_read_before_the_stall_counts_as_over(
+def test_a_stall_lasts_until_the_connections_accepted_after_it_are_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against requests that count as just sent, as their connection is read late."""
+    """Guards against requests that count as just sent because their connection is read late."""
     monkeypatch.setattr(stall_detector, "CATCH_UP_TIME_S", 0.0)
-    test_a_stall_of_the_process_counts_against_the_time_of_waiting_requests()
+    test_a_stall_counts_against_the_timeout_of_waiting_requests()
 
 
-class FailingToAttach:
-    """An event loop that can't attach accepted connections, and is the real one otherwise."""
+class LoopFailingToAttach:
+    """The event loop, except that attaching accepted connections fails."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -243,26 +243,26 @@
 
 
 @pytest.mark.interpreted
-def test_a_stall_counts_as_over_though_a_connection_could_not_be_attached() -> None:
-    """Guards against one failure after which all requests count as old for good."""
+def test_a_stall_ends_even_if_accepted_connections_can_not_be_attached() -> None:
+    """Guards against a failure after which all requests permanently count as delayed."""
 
     async def body() -> None:
-        still = StallingClock()
-        async with serving(config(), still) as (served, address):
+        clock = StallingClock()
+        async with serving(config(), clock) as (served, address):
             caller = await connected_caller(address)
             loop = served.clients.loop
-            failing = FailingToAttach(loop)
+            failing = LoopFailingToAttach(loop)
             served.clients.loop = failing  # type: ignore[assignment]
             waiting = [
                 socket.create_connection(address) for _ in range(2 * client_listener.ACCEPT_BATCH)
             ]
-            still.stalled_for += 1.2
+            clock.stalled_for += 1.2
             await until(lambda: served.clients.stall_detector.stalled_since is not None)
             await until(lambda: failing.failures == len(waiting))
             served.clients.loop = loop
             async with asyncio.timeout(2):
                 await until(lambda: served.clients.stall_detector.stalled_since is None)
-            assert len(served.clients.connections) == 1  # none keeps a place
+            assert len(served.clients.connections) == 1  # the failed connections are removed
             assert await caller.ask(resp(b"PING")) == b"PONG"
             for sock in waiting:
                 sock.close()
@@ -270,15 +270,15 @@
     run(body())
 
 
-def test_rejects_a_request_whose_time_ran_out_in_a_stall_without_asking_the_policy() -> None:
+def test_rejects_a_request_that_expired_in_a_stall_without_consulting_the_policy() -> None:
     async def body() -> None:
-        still = StallingClock()
-        async with serving(config(), still) as (served, address):
+        clock = StallingClock()
+        async with serving(config(), clock) as (served, address):
             stub = ScriptedPolicy(None)
             served.exchange.policy = stub
             caller = await connected_caller(address)
             send_now(caller, command("old", d=1000) + command("longer", d=2000))
-            still.stalled_for += 1.2
+            clock.stalled_for += 1.2
             assert str(await caller.answer()).startswith("BUSY")
             await until(lambda: stub.events_of(RequestReceived))
             assert len(stub.events_of(RequestReceived)) == 1
@@ -288,12 +288,12 @@
 
 
 def test_a_slow_start_does_not_count_against_the_first_requests() -> None:
-    """Nothing can have come before the listener is open."""
+    """No request can have arrived before the listener opens."""
 
     async def body() -> None:
-        still = StallingClock()
-        served = Application(config(), still)
-        still.stalled_for += 1.2
+        clock = StallingClock()
+        served = Application(config(), clock)
+        clock.stalled_for += 1.2
         stub = ScriptedPolicy(None)
         served.exchange.policy = stub
         served.clients.open()
