--- a/tests/stand.py
+++ b/tests/stand.py
@@ -117,9 +117,9 @@
         try:
             await fleet.open()
             await world.open()
-            stand = Stand(world, fleet)
+            harness = Stand(world, fleet)
             traffic = asyncio.create_task(world.play())
-            await case(stand)
+            await case(harness)
             if seconds is None:
                 assert isinstance(world.customers, Customers)
                 world.customers.stop()
@@ -141,10 +141,10 @@
     """Runs a case and asserts the number of crashes and that no invariant was violated.
 
     Args:
-        case: See `run_case`, as for `seconds` and `commands`.
-        seconds: Duration of the clients' traffic; None until the case ends.
+        case: Injects faults and checks counts.
+        seconds: Duration of the clients' traffic; None lets it run until the case ends.
         crashes: The expected number of crashes.
-        commands: Commands of instances by number.
+        commands: Commands of instances by number, in place of the program under test.
         changes: Values of the deployment that differ from the default.
     """
     deployment = Deployment(
