--- a/tests/stand.py
+++ b/tests/stand.py
@@ -42,7 +42,7 @@
     raise AssertionError(f"{ingress.name} did not log its counts")
 
 
-class Stand:
+class FleetHarness:
     """A running testbed whose instances gossip, and their counts."""
 
     def __init__(self, world: World, fleet: Fleet) -> None:
@@ -90,7 +90,7 @@
 async def run_case(
     deployment: Deployment,
     seconds: float | None,
-    case: Callable[[Stand], Awaitable[None]],
+    case: Callable[[FleetHarness], Awaitable[None]],
     commands: dict[int, str] | None = None,
     seed: int = 5,
 ) -> World:
@@ -117,7 +117,7 @@
         try:
             await fleet.open()
             await world.open()
-            harness = Stand(world, fleet)
+            harness = FleetHarness(world, fleet)
             traffic = asyncio.create_task(world.play())
             await case(harness)
             if seconds is None:
@@ -132,7 +132,7 @@
 
 
 def run(
-    case: Callable[[Stand], Awaitable[None]],
+    case: Callable[[FleetHarness], Awaitable[None]],
     seconds: float | None = 6.0,
     crashes: int = 0,
     commands: dict[int, str] | None = None,
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -14,7 +14,7 @@
 from ingress.testbed.deployment import CLASSES, PLANS
 from ingress.testbed.scenario import Fault
 from ingress.testbed.world import World
-from tests.stand import COUNT, Stand, run
+from tests.stand import COUNT, FleetHarness, run
 
 FAULTY = f"exec {sys.executable} -m tests.faulty"
 EVERYONE = set(range(COUNT))
@@ -35,14 +35,14 @@
 
 def backend_breaks(
     seen: list[tuple[Counter[int], Counter[int]]],
-) -> Callable[[Stand], Awaitable[None]]:
+) -> Callable[[FleetHarness], Awaitable[None]]:
     """A backend that the endpoint list has resets all connections; then it recovers.
 
     Notes the attempts at it, by gateway, from 2 s after all knew until it recovered, and
     afterwards.
     """
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         world, server = stand.world, stand.world.servers[2]
         await stand.whole()
         await stand.event(
@@ -95,7 +95,7 @@
     """Four of an earlier release, four with clocks 2 s ahead; one backend is broken for all."""
     older, ahead = set(range(4)), set(range(4, 8))
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         said = await stand.until(
             EVERYONE, lambda f: f["heard"] == COUNT, "not all are heard by all"
@@ -135,7 +135,7 @@
 ) -> None:
     """It stalled under overload; what it held is ten seconds old. The breach goes by it at once."""
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.until({4}, lambda f: f["cuts"] > 0, "no overload was seen")
         frozen = stand.world.ingresses[4]
         assert frozen.life is not None
@@ -156,7 +156,7 @@
 def test_a_backend_that_returns_cold_to_twelve_at_once_does_not_collapse() -> None:
     """And a surge of 3 s, whose retries do not outlast it."""
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         world = stand.world
         await stand.whole()
         await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
@@ -189,7 +189,7 @@
     ever.
     """
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         world = stand.world
         await stand.whole()
         await stand.event(
@@ -227,7 +227,7 @@
 def test_one_gateway_gets_ten_times_the_mean_and_the_fleet_serves_its_capacity() -> None:
     """At two and a half times the capacity, with clients that use all gateways in turn."""
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         customers = stand.world.customers
         customers.shift = lambda share: None  # type: ignore[method-assign]
         for customer in customers.everyone:  # type: ignore[union-attr]
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from tests.stand import COUNT, Stand, run
+from tests.stand import COUNT, FleetHarness, run
 
 
 def test_twelve_started_at_once_find_one_another_and_leave_gracefully() -> None:
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         stand.fleet.paths.every(loss=0.1, again=0.1, delay=0.01, spread=0.9)
         counts = stand.fleet.paths.counts
@@ -33,7 +33,7 @@
 
 
 def test_a_process_suspended_for_longer_than_a_suspicion_believes_nothing_stale() -> None:
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         frozen, rest = stand.world.ingresses[4], set(range(COUNT)) - {4}
         assert frozen.life is not None
@@ -51,7 +51,7 @@
 
 
 def test_the_halves_of_a_healed_partition_merge() -> None:
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         one = set(range(6))
         stand.fleet.paths.part(one, set(range(COUNT)) - one)
@@ -66,7 +66,7 @@
 
 
 def test_a_path_that_works_one_way_only_declares_nobody_dead() -> None:
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         stand.fleet.paths.part({2}, {7}, both=False)
         await stand.until({2}, lambda f: f["sent"] > 400, "too little was said")
@@ -78,7 +78,7 @@
 
 
 def test_half_killed_under_overload_are_declared_dead_and_the_rest_shed_as_one() -> None:
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         for n in range(6):
             stand.world.customers.doors[n].until = stand.world.clock() + 0.5
@@ -93,7 +93,7 @@
 
 
 def test_reports_that_are_delayed_under_overload_are_not_believed() -> None:
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         everyone = set(range(COUNT))
         await stand.until(everyone, lambda f: f["cuts"] > 0, "no overload was seen")
@@ -117,7 +117,7 @@
     """
     fault = "liar:1e9,0,1e9" if is_bounded else "believed:1e9,0,1e9"
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.whole()
         # The lie stands all the time: if it moved the shed fraction, it would do so always.
         await stand.until(
