--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -27,7 +27,7 @@
 from ingress.testbed.record import Arrival, Try
 from ingress.testbed.scenario import Scenario
 from ingress.testbed.world import World
-from tests.stand import counted
+from tests.stand import read_counts
 
 FIRST_SUBMISSION_NUMBER = 1_000_000  # of these clients' submissions in the record
 REQUEST_ID_SUFFIX = "7e577e57"  # of these clients' requests
@@ -191,7 +191,7 @@
 
     async def handover_counts(self, number: int) -> dict[str, Any]:
         """Returns the handover counts that an instance reports."""
-        counts: dict[str, Any] = (await counted(self.world.ingresses[number]))["handover"]
+        counts: dict[str, Any] = (await read_counts(self.world.ingresses[number]))["handover"]
         return counts
 
     async def wait_for_counts(
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -28,7 +28,7 @@
 FleetCounts = dict[int, dict[str, Any]]  # by the number of the instance that logged them
 
 
-async def counted(ingress: Ingress) -> dict[str, Any]:
+async def read_counts(ingress: Ingress) -> dict[str, Any]:
     """Returns the counts that an instance logs on SIGUSR1."""
     before, end = ingress.log.stat().st_size, time.monotonic() + EVENT_TIMEOUT_S
     ingress.signal(signal.SIGUSR1)
@@ -50,7 +50,7 @@
 
     async def counts_of(self, ingress: Ingress) -> dict[str, Any]:
         """Returns the counts of an instance."""
-        return await counted(ingress)
+        return await read_counts(ingress)
 
     async def until(
         self, numbers: set[int], condition: Callable[[dict[str, Any]], bool], failure: str
