--- a/tests/stand.py
+++ b/tests/stand.py
@@ -80,7 +80,7 @@
             assert time.monotonic() < end, failure
             await asyncio.sleep(0.02)
 
-    async def whole(self, count: int = COUNT) -> FleetCounts:
+    async def wait_for_all_members(self, count: int = COUNT) -> FleetCounts:
         """Waits until each of the first `count` instances knows all others."""
         return await self.until(
             set(range(count)), lambda f: f["there"] == count - 1, "not all members were found"
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -44,7 +44,7 @@
 
     async def case(stand: FleetHarness) -> None:
         world, server = stand.world, stand.world.servers[2]
-        await stand.whole()
+        await stand.wait_for_all_members()
         await stand.event(
             lambda: len(attempts_at(world, "server-2", 0.0)) == COUNT, "not all came to it before"
         )
@@ -96,7 +96,7 @@
     older, ahead = set(range(4)), set(range(4, 8))
 
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         said = await stand.until(
             EVERYONE, lambda f: f["heard"] == COUNT, "not all are heard by all"
         )
@@ -113,7 +113,7 @@
             "the older ones do not hear all",
         )
         assert sum(f["looks"]["told"] for f in newer.values()) >= 2
-        cuts = [f["cut"] for f in (await stand.whole()).values()]
+        cuts = [f["cut"] for f in (await stand.wait_for_all_members()).values()]
         assert max(cuts) - min(cuts) < 0.1, cuts
         stand.world.servers[2].fault = ""
 
@@ -158,7 +158,7 @@
 
     async def case(stand: FleetHarness) -> None:
         world = stand.world
-        await stand.whole()
+        await stand.wait_for_all_members()
         await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
         began = world.servers[2].start
         assert began is not None
@@ -191,7 +191,7 @@
 
     async def case(stand: FleetHarness) -> None:
         world = stand.world
-        await stand.whole()
+        await stand.wait_for_all_members()
         await stand.event(
             lambda: served(world, world.clock() - 1.0, world.clock()) > 0.9, "not yet"
         )
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -12,7 +12,7 @@
 
 def test_twelve_started_at_once_find_one_another_and_leave_gracefully() -> None:
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         stand.fleet.paths.every(loss=0.1, again=0.1, delay=0.01, spread=0.9)
         counts = stand.fleet.paths.counts
         await stand.until(
@@ -34,7 +34,7 @@
 
 def test_a_process_suspended_for_longer_than_a_suspicion_believes_nothing_stale() -> None:
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         frozen, rest = stand.world.ingresses[4], set(range(COUNT)) - {4}
         assert frozen.life is not None
         frozen.life.pauses.append((stand.world.clock(), float("inf")))
@@ -42,7 +42,7 @@
         await stand.until(rest, lambda f: f["there"] == COUNT - 2 and f["lost"] == 1, "not missed")
         frozen.signal(signal.SIGCONT)
         frozen.life.pauses[-1] = frozen.life.pauses[-1][0], stand.world.clock() + 0.5
-        said = await stand.whole()
+        said = await stand.wait_for_all_members()
         assert min(said[4]["woken"], said[4]["asleep"]) >= 1, said[4]
         assert said[4]["buried"] == 0, said[4]
         assert all(said[n]["buried"] == 1 for n in rest), said
@@ -52,7 +52,7 @@
 
 def test_the_halves_of_a_healed_partition_merge() -> None:
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         one = set(range(6))
         stand.fleet.paths.part(one, set(range(COUNT)) - one)
         await stand.until(
@@ -60,17 +60,17 @@
         )
         assert stand.fleet.paths.counts.cut > 50
         stand.fleet.paths.mend()
-        await stand.whole()
+        await stand.wait_for_all_members()
 
     run(case, rate=30.0)
 
 
 def test_a_path_that_works_one_way_only_declares_nobody_dead() -> None:
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         stand.fleet.paths.part({2}, {7}, both=False)
         await stand.until({2}, lambda f: f["sent"] > 400, "too little was said")
-        said = await stand.whole()
+        said = await stand.wait_for_all_members()
         assert stand.fleet.paths.counts.cut >= 2
         assert all(f["buried"] == 0 for f in said.values()), said
 
@@ -79,7 +79,7 @@
 
 def test_half_killed_under_overload_are_declared_dead_and_the_rest_shed_as_one() -> None:
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         for n in range(6):
             stand.world.customers.doors[n].until = stand.world.clock() + 0.5
             stand.world.ingresses[n].signal(signal.SIGKILL, "killed")
@@ -94,7 +94,7 @@
 
 def test_reports_that_are_delayed_under_overload_are_not_believed() -> None:
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         everyone = set(range(COUNT))
         await stand.until(everyone, lambda f: f["cuts"] > 0, "no overload was seen")
         before = await stand.until(everyone, lambda f: True, "")
@@ -102,7 +102,7 @@
         await stand.until(everyone, lambda f: f["heard"] == 0, "old reports are believed")
         assert stand.fleet.paths.counts.held > 50
         stand.fleet.paths.mend()
-        after = await stand.whole()
+        after = await stand.wait_for_all_members()
         assert all(after[n]["alone"] > before[n]["alone"] for n in everyone)
 
     world = run(case, seconds=12.0, rate=150.0, busy=2.5)
@@ -118,7 +118,7 @@
     fault = "liar:1e9,0,1e9" if is_bounded else "believed:1e9,0,1e9"
 
     async def case(stand: FleetHarness) -> None:
-        await stand.whole()
+        await stand.wait_for_all_members()
         # The lie stands all the time: if it moved the shed fraction, it would do so always.
         await stand.until(
             set(range(1, COUNT)),
