--- a/tests/stand.py
+++ b/tests/stand.py
@@ -73,7 +73,7 @@
             await asyncio.sleep(0.1)
         raise AssertionError(f"{failure}: {counts}")
 
-    async def wait_until(self, condition: Callable[[], bool], failure: str) -> None:
+    async def wait_for_testbed(self, condition: Callable[[], bool], failure: str) -> None:
         """Waits until the condition, on the testbed's own state, is true."""
         end = time.monotonic() + EVENT_TIMEOUT_S
         while not condition():
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -45,7 +45,7 @@
     async def case(stand: FleetHarness) -> None:
         world, server = stand.world, stand.world.servers[2]
         await stand.wait_for_all_members()
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", 0.0)) == COUNT, "not all came to it before"
         )
         server.fault = "reset"
@@ -55,10 +55,10 @@
             "not all were told",
         )
         start = world.clock()
-        await stand.wait_until(lambda: world.clock() > start + 2.0, "")
+        await stand.wait_for_testbed(lambda: world.clock() > start + 2.0, "")
         server.fault, mended = "", world.clock()
         await stand.until(EVERYONE, lambda f: not f["shunned"], "still kept from it")
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", mended)) >= COUNT - 2,
             "not all came back to it",
         )
@@ -142,7 +142,7 @@
         frozen.life.pauses.append((stand.world.clock(), float("inf")))
         frozen.signal(signal.SIGSTOP)
         start = stand.world.clock()
-        await stand.wait_until(lambda: stand.world.clock() > start + 10.0, "")
+        await stand.wait_for_testbed(lambda: stand.world.clock() > start + 10.0, "")
         frozen.signal(signal.SIGCONT)
         frozen.life.pauses[-1] = frozen.life.pauses[-1][0], stand.world.clock() + 0.5
         said = await stand.until(
@@ -162,17 +162,17 @@
         await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
         began = world.servers[2].start
         assert began is not None
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", began.at)) >= COUNT // 2, "it is not sent to"
         )
         calm = world.clock()
         world.customers.surge("base", 6.0)
-        await stand.wait_until(lambda: world.clock() > calm + 3.0, "")
+        await stand.wait_for_testbed(lambda: world.clock() > calm + 3.0, "")
         world.customers.surge("base", 1.0)
         end = world.clock()
         assert served(world, calm, end) < 0.8  # the trigger came about
         before = served(world, calm - 2.0, calm)
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: world.clock() > end + 1.5
             and served(world, world.clock() - 1.5, world.clock() - 0.5) > 0.9 * before,
             "it does not come back",
@@ -192,14 +192,14 @@
     async def case(stand: FleetHarness) -> None:
         world = stand.world
         await stand.wait_for_all_members()
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: served(world, world.clock() - 1.0, world.clock()) > 0.9, "not yet"
         )
         for server in world.servers:
             server.end()
             world.publish(server, "gone", 0.0)
         left = world.clock()
-        await stand.wait_until(lambda: world.clock() > left + 16.0, "")
+        await stand.wait_for_testbed(lambda: world.clock() > left + 16.0, "")
         meanwhile = [x.kind for x in world.record.tries if x.sent > left + 2.0 and x.kind]
         # Much was offered, and nothing admitted.
         assert len(meanwhile) > 500
@@ -209,7 +209,7 @@
             server.begin_cold()
             world.publish(server, "ready", world.clock())
         back = world.clock()
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: world.clock() > back + 1.5
             and served(world, world.clock() - 1.5, world.clock() - 0.5) > 0.9,
             "it serves none for ever",
@@ -234,7 +234,7 @@
             customer.spread, customer.first = COUNT, 0
             customer.weights = [55.0, *[1.0] * (COUNT - 1)]
         tries = stand.world.record.tries
-        await stand.wait_until(
+        await stand.wait_for_testbed(
             lambda: sum(x.kind == "refused" for x in tries) > 200, "no overload was seen"
         )
 
