--- a/tests/support/applications.py
+++ b/tests/support/applications.py
@@ -19,17 +19,17 @@
     settings: Config, clock: Clock | None = None
 ) -> AsyncIterator[tuple[Application, Any]]:
     """Runs an ingress; yields it and its listening address."""
-    served = Application(settings, clock)
+    ingress = Application(settings, clock)
     stop = asyncio.Event()
-    task = asyncio.create_task(served.run(stop))
-    await served.serving.wait()
+    task = asyncio.create_task(ingress.run(stop))
+    await ingress.serving.wait()
     try:
-        yield served, served.clients.listening_socket.getsockname()
+        yield ingress, ingress.clients.listening_socket.getsockname()
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        served.clients.close()
-        served.backends.close()
+        ingress.clients.close()
+        ingress.backends.close()
 
 
 class ScriptedPolicy:
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -83,13 +83,13 @@
     return count
 
 
-async def received_bytes(served: Application, socks: list[socket.socket]) -> bytes:
+async def received_bytes(ingress: Application, socks: list[socket.socket]) -> bytes:
     """Returns all bytes written to accepted connections, and closes them.
 
     Waits until every byte is acknowledged: bytes written while the backlog was full may have been
     dropped, and are retransmitted some tenths of a second after the connection was accepted.
     """
-    await until(lambda: not served.backends.connect_tasks)  # type: ignore[attr-defined]
+    await until(lambda: not ingress.backends.connect_tasks)  # type: ignore[attr-defined]
     await until(lambda: not unacknowledged_bytes(socks[0].getsockname()))
     data = b""
     for sock in socks:
@@ -146,16 +146,16 @@
 
     Yields the ingress, its address, the policy and a function that fails the open requests.
     """
-    async with serving(config()) as (served, address):
+    async with serving(config()) as (ingress, address):
         stub = ScriptedPolicy(None)
-        served.exchange.policy = stub
+        ingress.exchange.policy = stub
 
         def fail_all() -> None:
-            stub.plan = lambda _: [FailRequest(key) for key in list(served.exchange.open_requests)]
-            served.exchange.feed(TimerFired(99))
+            stub.plan = lambda _: [FailRequest(key) for key in list(ingress.exchange.open_requests)]
+            ingress.exchange.feed(TimerFired(99))
             stub.plan = None
 
-        yield served, address, stub, fail_all
+        yield ingress, address, stub, fail_all
 
 
 async def is_closed(caller: Caller) -> bool:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -39,14 +39,14 @@
     max_open = 0
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
 
             def plan(event: Event) -> list[Action]:
                 nonlocal max_open
-                max_open = max(max_open, len(served.exchange.open_requests))
+                max_open = max(max_open, len(ingress.exchange.open_requests))
                 return start_attempt(event)
 
-            served.exchange.policy = ScriptedPolicy(plan)
+            ingress.exchange.policy = ScriptedPolicy(plan)
             caller = await Caller.to(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(50)))
             assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
@@ -57,8 +57,8 @@
 
 def test_evicts_an_idle_connection_at_the_connection_limit() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 3  # one place is kept free
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 3  # one place is kept free
             callers = [await Caller.to(address) for _ in range(2)]
             for caller in callers:
                 assert await caller.ask(resp(b"PING")) == b"PONG"
@@ -80,14 +80,14 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(sent)
             received = await caller.reader.read()  # to the end of the connection
             assert received.startswith(b"-ERR ") is bool(sent)
             caller.writer.close()
-            await until(lambda: not served.clients.connections)
-            assert not served.clients.buffered_bytes
+            await until(lambda: not ingress.clients.connections)
+            assert not ingress.clients.buffered_bytes
 
     run(body())
 
@@ -149,10 +149,10 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             sock = socket.create_connection(address)
             sock.setblocking(False)
-            await until(lambda: served.clients.connections)
+            await until(lambda: ingress.clients.connections)
             loop = asyncio.get_running_loop()
             text = resp(b"PING", b"x" * 60_000)
 
@@ -163,7 +163,7 @@
             with pytest.raises(ConnectionError):
                 await send()
             sock.close()
-            await until(lambda: not served.clients.connections)
+            await until(lambda: not ingress.clients.connections)
 
     run(body())
 
@@ -172,9 +172,9 @@
     """Many clients connect at once; those beyond the limit wait in the backlog, none is closed."""
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 10
-            served.exchange.policy = ScriptedPolicy(lambda e: [RejectRequest(e.request_id)])
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 10
+            ingress.exchange.policy = ScriptedPolicy(lambda e: [RejectRequest(e.request_id)])
             callers = [await Caller.to(address) for _ in range(60)]
             for n, caller in enumerate(callers):
                 caller.writer.write(command(str(n)))
@@ -191,8 +191,8 @@
     monkeypatch.setattr(idle_connections, "MIN_SILENCE_BEFORE_EVICTION_S", 0.0)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 40
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 40
             usual = await Caller.to(address)
             assert await usual.ask(resp(b"PING")) == b"PONG"
             silent = [await Caller.to(address) for _ in range(200)]
@@ -200,7 +200,7 @@
             for _ in range(3):
                 assert await late.ask(resp(b"PING")) == b"PONG"
                 assert await usual.ask(resp(b"PING")) == b"PONG"
-            assert len(served.clients.connections) <= 40
+            assert len(ingress.clients.connections) <= 40
             for caller in silent:
                 caller.writer.close()
 
@@ -215,12 +215,12 @@
     monkeypatch.setattr(idle_connections, "MIN_SILENCE_BEFORE_EVICTION_S", 0.0)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 40
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 40
             slow = await Caller.to(address)
             ping = resp(b"PING")
             slow.writer.write(ping[:-3])
-            await until(lambda: any(c.unparsed for c in served.clients.connections))
+            await until(lambda: any(c.unparsed for c in ingress.clients.connections))
             silent = [await Caller.to(address) for _ in range(200)]
             slow.writer.write(ping[-3:])
             assert await slow.answer() == b"PONG"
@@ -232,7 +232,7 @@
 
 def test_closes_after_consecutive_malformed_requests() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(resp(b"NO") * 300)
             for _ in range(client_connection.MAX_CONSECUTIVE_MALFORMED_REQUESTS):
@@ -240,7 +240,7 @@
             with pytest.raises((EOFError, ConnectionError)):
                 await caller.answer()
             assert (
-                served.clients.malformed_requests.count
+                ingress.clients.malformed_requests.count
                 == client_connection.MAX_CONSECUTIVE_MALFORMED_REQUESTS
             )
 
@@ -256,13 +256,13 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(b"*5\r\n$60000000\r\n")
             assert "too large" in str(await caller.answer())
-            client = next(iter(served.clients.connections))
+            client = next(iter(ingress.clients.connections))
             caller.writer.write(bytes(60_000_000))
-            await until(lambda: not served.clients.connections)
+            await until(lambda: not ingress.clients.connections)
             assert client.discarded_bytes < 2 * client_connection.MAX_DISCARDED_BYTES
             caller.writer.transport.abort()
 
@@ -271,26 +271,26 @@
 
 def test_limits_partial_requests_over_all_connections() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_buffered_bytes = 100_000
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_buffered_bytes = 100_000
             part = b"*5\r\n$9\r\nAPI.WRITE\r\n$60000\r\n" + b"x" * 50_000
             callers = [await Caller.to(address) for _ in range(2)]
             callers[0].writer.write(part)
-            await until(lambda: served.clients.buffered_bytes >= 50_000)
+            await until(lambda: ingress.clients.buffered_bytes >= 50_000)
             callers[1].writer.write(part)
             assert "on the way" in str(await callers[1].answer())
-            assert served.clients.buffered_bytes <= 100_000
+            assert ingress.clients.buffered_bytes <= 100_000
 
     run(body())
 
 
 def test_serves_a_connection_that_is_accepted_while_the_listener_closes() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
             busy.sendall(resp(b"PING"))
-            served.clients.drain()  # before the event loop has accepted either of them
+            ingress.clients.drain()  # before the event loop has accepted either of them
             loop = asyncio.get_running_loop()
             for sock in (idle, busy):
                 sock.setblocking(False)
@@ -298,6 +298,6 @@
             for sock in (idle, busy):
                 assert await loop.sock_recv(sock, 100) == b""
                 sock.close()
-            await until(lambda: not served.clients.connections)
+            await until(lambda: not ingress.clients.connections)
 
     run(body())
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -69,10 +69,10 @@
             backend(value(b"again")) as second,
             serving(
                 config(entry(first.address), entry(second.address, "s2"), settings=KEYED), clock
-            ) as (served, address),
+            ) as (ingress, address),
         ):
             stub = ScriptedPolicy(partial(start_attempt, backend="s2"))
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             # Open the connection to the second backend in advance.
             await caller.ask(command("warm"))
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -83,8 +83,8 @@
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.policy = ScriptedPolicy(start_attempt)
+        async with peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(start_attempt)
             caller = await Caller.to(address)
             caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
             assert [await caller.answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
@@ -181,8 +181,8 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            applications.append(served)
+        async with Peer(script) as peer, serving(config(entry(peer.address))) as (ingress, address):
+            applications.append(ingress)
             caller = await Caller.to(address)
             caller.writer.write(command() + data)
             assert await caller.answer() == b"served"
@@ -206,15 +206,15 @@
 
 def test_reports_a_disconnected_client_to_the_policy() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             stub = ScriptedPolicy(start_attempt)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             caller.writer.write(command())
             await until(lambda: peer.commands)
             caller.writer.close()
             await until(lambda: stub.events_of(ClientDisconnected))
-            assert not served.exchange.open_requests
+            assert not ingress.exchange.open_requests
 
     run(body())
 
@@ -222,16 +222,18 @@
 @pytest.mark.parametrize("sent", [True, False])
 def test_responds_by_the_deadline_even_if_policy_and_backend_are_silent(sent: bool) -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             stub = ScriptedPolicy(start_attempt if sent else None)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             clock = asyncio.get_running_loop().time
             start = clock()
             assert str(await caller.ask(command(d=300))) == "ERR failed"
             assert clock() - start > 0.2
             assert len(stub.events_of(ClientDisconnected)) == 1
-            await until(lambda: not served.exchange.attempts and not served.exchange.open_requests)
+            await until(
+                lambda: not ingress.exchange.attempts and not ingress.exchange.open_requests
+            )
             assert len(stub.events_of(AttemptEnded)) == sent
             assert await caller.ask(resp(b"PING")) == b"PONG"
 
@@ -242,12 +244,12 @@
     """The attempt times out first, and the policy has time to respond."""
 
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             caller = await Caller.to(address)
             assert isinstance(await caller.ask(command(d=500)), hiredis.ReplyError)
-            policy = served.exchange.policy
+            policy = ingress.exchange.policy
             assert isinstance(policy, Gateway)
-            assert not served.exchange.open_requests
+            assert not ingress.exchange.open_requests
             assert not policy.requests.by_id
 
     run(body())
@@ -255,9 +257,9 @@
 
 def test_rejection_carries_the_retry_after_time() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             waits = {"1": 0.0, "2": 1.2501}
-            served.exchange.policy = ScriptedPolicy(
+            ingress.exchange.policy = ScriptedPolicy(
                 lambda e: [RejectRequest(e.request_id, waits[e.request_id])]
             )
             caller = await Caller.to(address)
@@ -269,8 +271,8 @@
 
 def test_drops_a_second_final_response() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.exchange.policy = ScriptedPolicy(
+        async with serving(config()) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(
                 lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)]
             )
             caller = await Caller.to(address)
@@ -280,13 +282,11 @@
     run(body())
 
 
-def test_exception_in_the_policy_fails_only_one_request(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
+def test_exception_in_the_policy_fails_only_one_request(caplog: pytest.LogCaptureFixture) -> None:
     """Actions from before the exception are carried out, in particular the next timer."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
 
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.customer.endswith("9"):
@@ -295,14 +295,14 @@
                 return start_attempt(event)
 
             stub = ScriptedPolicy(plan)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             caller.writer.write(command("one") + command("two", customer=9) + command("three"))
             assert await caller.answer() == b"one"
             assert str(await caller.answer()) == "ERR failed"
             assert await caller.answer() == b"three"
             await until(lambda: stub.events_of(TimerFired))
-            await until(lambda: not served.exchange.open_requests)
+            await until(lambda: not ingress.exchange.open_requests)
 
     run(body())
     assert sum("the policy failed" in record.getMessage() for record in caplog.records) == 1
@@ -313,7 +313,7 @@
         async with (
             backend(b"") as one,
             backend() as two,
-            serving(config(entry(one.address), entry(two.address, "s2"))) as (served, address),
+            serving(config(entry(one.address), entry(two.address, "s2"))) as (ingress, address),
         ):
 
             def plan(event: Event) -> list[Action]:
@@ -326,7 +326,7 @@
                 )
 
             stub = ScriptedPolicy(plan)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             assert await caller.ask(command("x")) == b"x"
             assert [e.outcome for e in stub.events_of(AttemptEnded)] == [
@@ -342,7 +342,7 @@
     async def body() -> None:
         async with (
             backend(b"-ERR failed\r\n") as peer,
-            serving(config(entry(peer.address))) as (served, address),
+            serving(config(entry(peer.address))) as (ingress, address),
         ):
 
             def plan(event: Event) -> list[Action]:
@@ -350,7 +350,7 @@
                 return [StartAttempt(event.request_id, "s1")] if retry else start_attempt(event)  # type: ignore[union-attr]
 
             stub = ScriptedPolicy(plan)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             assert str(await caller.ask(command(d=300))) == "ERR failed"
             ends = [(e.attempt, e.outcome) for e in stub.events_of(AttemptEnded)]
@@ -361,8 +361,8 @@
 
 def test_rejects_requests_beyond_the_maximum_of_open_requests() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.max_open_requests = 1
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.max_open_requests = 1
             caller = await Caller.to(address)
             other = await Caller.to(address)
             caller.writer.write(command())
@@ -374,8 +374,8 @@
 
 def test_rejects_a_request_whose_id_is_open() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.policy = ScriptedPolicy(start_attempt)
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(start_attempt)
             one = await Caller.to(address)
             two = await Caller.to(address)
             one.writer.write(command("same", d=300))
@@ -385,7 +385,7 @@
             two.writer.write(command("same", d=300))  # the first request with this id has ended
             assert str(await two.answer()) == "ERR failed"
             assert len(peer.commands) == 2
-            assert not served.exchange.client_request_ids
+            assert not ingress.exchange.client_request_ids
 
     run(body())
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -73,20 +73,20 @@
     async def body() -> None:
         with full_backlog_backend() as slow:
             async with serving(config(entry(slow.address), settings=SLOW_CONNECT)) as (
-                served,
+                ingress,
                 address,
             ):
                 stub = ScriptedPolicy(start_attempt)
-                served.exchange.policy = stub
+                ingress.exchange.policy = stub
                 leaving = await Caller.to(address)
                 staying = await Caller.to(address)
                 leaving.writer.write(command("left"))
-                await until(lambda: served.backends.connection_count == 1)  # type: ignore[attr-defined]
+                await until(lambda: ingress.backends.connection_count == 1)  # type: ignore[attr-defined]
                 disconnect(leaving, how)
                 await until(lambda: stub.events_of(ClientDisconnected))
                 staying.writer.write(command("stays", d=int(1000 * LONG_TIMEOUT_S)))
                 await until(lambda: len(stub.events_of(RequestReceived)) == 2)
-                data = await received_bytes(served, await slow.accept(2))
+                data = await received_bytes(ingress, await slow.accept(2))
                 assert b"stays" in data
                 assert b"left" not in data
                 assert stub.events_of(AttemptEnded)[0].outcome is Outcome.SUPERSEDED
@@ -141,13 +141,13 @@
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 1e9)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             stub = ScriptedPolicy(None)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             caller.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
-            [client] = served.clients.connections
+            [client] = ingress.clients.connections
             if why == "full":
                 caller.writer.write(b"".join(command(f"{n:040}") for n in range(4000)))
             else:
@@ -159,12 +159,12 @@
                 lambda: len(stub.events_of(ClientDisconnected))
                 == len(stub.events_of(RequestReceived))
             )
-            assert not served.exchange.open_requests or all(
-                r.answered for r in served.exchange.open_requests.values()
+            assert not ingress.exchange.open_requests or all(
+                r.answered for r in ingress.exchange.open_requests.values()
             )
             await until(
-                lambda: not served.clients.connections
-                and not served.clients.hangup_watcher.connections
+                lambda: not ingress.clients.connections
+                and not ingress.clients.hangup_watcher.connections
             )
 
     run(body())
@@ -187,15 +187,15 @@
         async with backend(b"-ERR failed\r\n") as first:
             with full_backlog_backend() as slow:
                 servers = (entry(first.address), entry(slow.address, "s2"))
-                async with serving(config(*servers, settings=settings)) as (served, address):
+                async with serving(config(*servers, settings=settings)) as (ingress, address):
                     stub = ScriptedPolicy(plan)
-                    served.exchange.policy = stub
+                    ingress.exchange.policy = stub
                     caller = await Caller.to(address)
                     caller.writer.write(command("a", "order", d=30_000))
                     await until(lambda: stub.events_of(AttemptEnded))
-                    window_end = served.exchange.clock() + 0.5
-                    await until(lambda: served.exchange.clock() > window_end)
-                    assert await received_bytes(served, await slow.accept(1)) == b""
+                    window_end = ingress.exchange.clock() + 0.5
+                    await until(lambda: ingress.exchange.clock() > window_end)
+                    assert await received_bytes(ingress, await slow.accept(1)) == b""
                     assert stub.events_of(AttemptEnded)[1].outcome is Outcome.CONNECT_FAILED
 
     run(body())
@@ -247,12 +247,12 @@
     peer = Peer(script)
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.policy = ScriptedPolicy(start_attempt)
+        async with peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(start_attempt)
             caller = await Caller.to(address)
             assert await caller.ask(command("one")) == b"one"
-            restarted = Backend("s1", "a", "m", 1, started_at=served.exchange.clock())
-            served.exchange.backends_changed(
+            restarted = Backend("s1", "a", "m", 1, started_at=ingress.exchange.clock())
+            ingress.exchange.backends_changed(
                 EndpointListKind.UPDATE, (restarted,), {"s1": peer.address}, 2
             )
             assert await caller.ask(command("two")) == b"two"
--- a/tests/test_shutdown_and_stalls.py
+++ b/tests/test_shutdown_and_stalls.py
@@ -39,14 +39,14 @@
 
 def test_answers_a_request_that_was_partial_when_the_drain_began() -> None:
     async def body() -> None:
-        async with ingress_with_open_requests() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
             caller = await Caller.to(address)
             assert await caller.ask(resp(b"PING")) == b"PONG"
             data = command("late")
             caller.writer.write(data[:20])
-            [client] = served.clients.connections
+            [client] = ingress.clients.connections
             await until(lambda: client.unparsed)
-            served.clients.drain()
+            ingress.clients.drain()
             caller.writer.write(data[20:])
             await until(lambda: stub.events_of(RequestReceived))
             fail_all()
@@ -64,11 +64,11 @@
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
 
     async def body() -> None:
-        async with ingress_with_open_requests() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
             caller = await Caller.to(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(10)))
             await until(lambda: len(stub.events_of(RequestReceived)) == 4)
-            served.clients.drain()
+            ingress.clients.drain()
             for count in (4, 8, 10):
                 await until(lambda count=count: len(stub.events_of(RequestReceived)) == count)  # type: ignore[misc]
                 fail_all()
@@ -82,7 +82,7 @@
     """It is in the socket buffer while the drain or the response to the previous one is handled."""
 
     async def body() -> None:
-        async with ingress_with_open_requests() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
             idle = await Caller.to(address)
             busy = await Caller.to(address)
             for caller in (idle, busy):
@@ -91,7 +91,7 @@
             await until(lambda: stub.events_of(RequestReceived))
             for caller, name in ((idle, "two"), (busy, "three")):
                 send_now(caller, command(name))
-            served.clients.drain()
+            ingress.clients.drain()
             fail_all()
             await until(lambda: len(stub.events_of(RequestReceived)) == 3)
             fail_all()
@@ -105,10 +105,10 @@
 
 def test_answers_the_first_request_on_a_connection_accepted_before_the_drain() -> None:
     async def body() -> None:
-        async with ingress_with_open_requests() as (served, address, stub, fail_all):
+        async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
             caller = await Caller.to(address)
-            await until(lambda: served.clients.idle_connections.awaiting_first_request)
-            served.clients.drain()
+            await until(lambda: ingress.clients.idle_connections.awaiting_first_request)
+            ingress.clients.drain()
             caller.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
             fail_all()
@@ -120,15 +120,15 @@
 
 def test_accepts_connections_waiting_in_the_backlog_when_the_drain_begins() -> None:
     async def body() -> None:
-        async with ingress_with_open_requests() as (served, address, stub, fail_all):
-            served.clients.max_connections = 1
+        async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
+            ingress.clients.max_connections = 1
             first = await Caller.to(address)
             first.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
             second = await Caller.to(address)
             second.writer.write(command("second"))
-            await until(lambda: served.clients.accepting_paused)
-            served.clients.drain()
+            await until(lambda: ingress.clients.accepting_paused)
+            ingress.clients.drain()
             fail_all()
             assert str(await first.answer()) == "ERR failed"
             assert await is_closed(first)
@@ -146,17 +146,17 @@
     """Closing a socket with unread input would reset the connection and lose the responses."""
 
     async def body() -> None:
-        async with ingress_with_open_requests() as (served, address, stub, _):
+        async with ingress_with_open_requests() as (ingress, address, stub, _):
             caller = await Caller.to(address)
             caller.writer.write(command("one"))
             await until(lambda: stub.events_of(RequestReceived))
             send_now(caller, command("two"))  # not read yet when the listener closes
-            served.exchange.fail_open_requests()
-            served.clients.close()
+            ingress.exchange.fail_open_requests()
+            ingress.clients.close()
             assert str(await caller.answer()) == "ERR failed"
             assert not await caller.reader.read()  # end of stream, not a reset
             caller.writer.close()
-            await until(lambda: served.clients.empty())
+            await until(lambda: ingress.clients.empty())
 
     run(body())
 
@@ -165,19 +165,19 @@
     async def body() -> None:
         with full_backlog_backend() as slow:
             async with serving(config(entry(slow.address), settings=SLOW_CONNECT)) as (
-                served,
+                ingress,
                 address,
             ):
                 stub = ScriptedPolicy(start_attempt)
-                served.exchange.policy = stub
+                ingress.exchange.policy = stub
                 caller = await Caller.to(address)
                 caller.writer.write(command("one"))
-                await until(lambda: served.backends.connection_count == 1)  # type: ignore[attr-defined]
-                served.exchange.fail_open_requests()
+                await until(lambda: ingress.backends.connection_count == 1)  # type: ignore[attr-defined]
+                ingress.exchange.fail_open_requests()
                 assert str(await caller.answer()) == "ERR failed"
                 caller.writer.write(command("two", d=int(1000 * LONG_TIMEOUT_S)))
                 await until(lambda: len(stub.events_of(RequestReceived)) == 2)
-                data = await received_bytes(served, await slow.accept(2))
+                data = await received_bytes(ingress, await slow.accept(2))
                 assert b"two" in data
                 assert b"one" not in data
 
@@ -189,9 +189,9 @@
 
     async def body() -> None:
         clock = StallingClock()
-        async with serving(config(), clock) as (served, address):
+        async with serving(config(), clock) as (ingress, address):
             stub = ScriptedPolicy(None)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await connected_caller(address)
             send_now(caller, command("old"))
             new = [
@@ -208,7 +208,7 @@
                     < event.time_left
                     <= 0.8 - margin
                 )
-            await until(lambda: served.clients.stall_detector.stalled_since is None)
+            await until(lambda: ingress.clients.stall_detector.stalled_since is None)
             caller.writer.write(command("after"))
             await until(lambda: len(stub.events_of(RequestReceived)) == 2 + len(new))
             assert stub.events_of(RequestReceived)[-1].time_left == 2.0 - margin
@@ -248,21 +248,21 @@
 
     async def body() -> None:
         clock = StallingClock()
-        async with serving(config(), clock) as (served, address):
+        async with serving(config(), clock) as (ingress, address):
             caller = await connected_caller(address)
-            loop = served.clients.loop
+            loop = ingress.clients.loop
             failing = LoopFailingToAttach(loop)
-            served.clients.loop = failing  # type: ignore[assignment]
+            ingress.clients.loop = failing  # type: ignore[assignment]
             waiting = [
                 socket.create_connection(address) for _ in range(2 * client_listener.ACCEPT_BATCH)
             ]
             clock.stalled_for += 1.2
-            await until(lambda: served.clients.stall_detector.stalled_since is not None)
+            await until(lambda: ingress.clients.stall_detector.stalled_since is not None)
             await until(lambda: failing.failures == len(waiting))
-            served.clients.loop = loop
+            ingress.clients.loop = loop
             async with asyncio.timeout(2):
-                await until(lambda: served.clients.stall_detector.stalled_since is None)
-            assert len(served.clients.connections) == 1  # the failed connections are removed
+                await until(lambda: ingress.clients.stall_detector.stalled_since is None)
+            assert len(ingress.clients.connections) == 1  # the failed connections are removed
             assert await caller.ask(resp(b"PING")) == b"PONG"
             for sock in waiting:
                 sock.close()
@@ -273,16 +273,16 @@
 def test_rejects_a_request_that_expired_in_a_stall_without_consulting_the_policy() -> None:
     async def body() -> None:
         clock = StallingClock()
-        async with serving(config(), clock) as (served, address):
+        async with serving(config(), clock) as (ingress, address):
             stub = ScriptedPolicy(None)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await connected_caller(address)
             send_now(caller, command("old", d=1000) + command("longer", d=2000))
             clock.stalled_for += 1.2
             assert str(await caller.answer()).startswith("BUSY")
             await until(lambda: stub.events_of(RequestReceived))
             assert len(stub.events_of(RequestReceived)) == 1
-            assert not served.exchange.client_request_ids - {b"longer"}
+            assert not ingress.exchange.client_request_ids - {b"longer"}
 
     run(body())
 
@@ -292,16 +292,16 @@
 
     async def body() -> None:
         clock = StallingClock()
-        served = Application(config(), clock)
+        ingress = Application(config(), clock)
         clock.stalled_for += 1.2
         stub = ScriptedPolicy(None)
-        served.exchange.policy = stub
-        served.clients.open()
-        caller = await Caller.to(served.clients.listening_socket.getsockname())
+        ingress.exchange.policy = stub
+        ingress.clients.open()
+        caller = await Caller.to(ingress.clients.listening_socket.getsockname())
         caller.writer.write(command("first"))
         await until(lambda: stub.events_of(RequestReceived))
         assert stub.events_of(RequestReceived)[0].time_left == 2.0 - 0.02
-        served.clients.close()
-        served.backends.close()
+        ingress.clients.close()
+        ingress.backends.close()
 
     run(body())
