--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""The connections of clients: their limits, timeouts and back-pressure, on sockets."""
+"""Client connections on sockets: limits, timeouts and back-pressure."""
 
 from __future__ import annotations
 
@@ -32,33 +32,33 @@
 
 
 @pytest.mark.interpreted
-def test_reads_no_further_than_the_maximum_of_pipelined_requests(
+def test_stops_reading_at_the_maximum_number_of_pipelined_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
-    most = 0
+    max_open = 0
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
 
             def plan(event: Event) -> list[Action]:
-                nonlocal most
-                most = max(most, len(served.exchange.open_requests))
+                nonlocal max_open
+                max_open = max(max_open, len(ingress.exchange.open_requests))
                 return start_attempt(event)
 
-            served.exchange.policy = ScriptedPolicy(plan)
+            ingress.exchange.policy = ScriptedPolicy(plan)
             caller = await Caller.to(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(50)))
             assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
 
     run(body())
-    assert most == 4
+    assert max_open == 4
 
 
 def test_evicts_an_idle_connection_at_the_connection_limit() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 3  # one descriptor is kept free
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 3  # one place is kept free
             callers = [await Caller.to(address) for _ in range(2)]
             for caller in callers:
                 assert await caller.ask(resp(b"PING")) == b"PONG"
@@ -80,23 +80,23 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(sent)
             received = await caller.reader.read()  # to the end of the connection
             assert received.startswith(b"-ERR ") is bool(sent)
             caller.writer.close()
-            await until(lambda: not served.clients.connections)
-            assert not served.clients.buffered_bytes
+            await until(lambda: not ingress.clients.connections)
+            assert not ingress.clients.buffered_bytes
 
     run(body())
 
 
 @pytest.mark.interpreted
-def test_single_bytes_do_not_prolong_the_time_for_a_request(
+def test_single_bytes_do_not_extend_the_timeout_of_a_partial_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time of a partial request runs from its first byte, not from its latest."""
+    """The timeout of a partial request runs from its first byte, not from its latest."""
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 0.3)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.interpreted
-def test_closes_an_idle_connection_and_not_one_with_an_open_request(
+def test_closes_an_idle_connection_but_not_one_with_an_open_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 0.05)
@@ -124,7 +124,7 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
-        await until(lambda: ended)
+        await until(lambda: idle_closed)
         writer.write(value(words[2]))
         await reader.read()
 
@@ -136,10 +136,10 @@
             assert await idle.ask(resp(b"PING")) == b"PONG"
             with pytest.raises((EOFError, ConnectionError)):
                 await idle.answer()
-            ended.append(True)
+            idle_closed.append(True)
             assert await busy.answer() == b"busy"
 
-    ended: list[bool] = []
+    idle_closed: list[bool] = []
     run(body())
 
 
@@ -149,10 +149,10 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             sock = socket.create_connection(address)
             sock.setblocking(False)
-            await until(lambda: served.clients.connections)
+            await until(lambda: ingress.clients.connections)
             loop = asyncio.get_running_loop()
             text = resp(b"PING", b"x" * 60_000)
 
@@ -163,18 +163,18 @@
             with pytest.raises(ConnectionError):
                 await send()
             sock.close()
-            await until(lambda: not served.clients.connections)
+            await until(lambda: not ingress.clients.connections)
 
     run(body())
 
 
-def test_does_not_evict_a_connection_that_was_just_accepted() -> None:
-    """Many clients at once: those beyond the limit wait in the backlog, and none is closed."""
+def test_does_not_evict_a_newly_accepted_connection() -> None:
+    """Many clients connect at once; those beyond the limit wait in the backlog, none is closed."""
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 10
-            served.exchange.policy = ScriptedPolicy(lambda e: [RejectRequest(e.request_id)])
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 10
+            ingress.exchange.policy = ScriptedPolicy(lambda e: [RejectRequest(e.request_id)])
             callers = [await Caller.to(address) for _ in range(60)]
             for n, caller in enumerate(callers):
                 caller.writer.write(command(str(n)))
@@ -187,12 +187,12 @@
 
 @pytest.mark.interpreted
 def test_evicts_silent_connections_before_used_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of hundreds of connections the silent ones are closed, and those with requests stay."""
+    """Of hundreds of connections the silent ones are closed, and those with requests stay open."""
     monkeypatch.setattr(idle_connections, "MIN_SILENCE_BEFORE_EVICTION_S", 0.0)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 40
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 40
             usual = await Caller.to(address)
             assert await usual.ask(resp(b"PING")) == b"PONG"
             silent = [await Caller.to(address) for _ in range(200)]
@@ -200,7 +200,7 @@
             for _ in range(3):
                 assert await late.ask(resp(b"PING")) == b"PONG"
                 assert await usual.ask(resp(b"PING")) == b"PONG"
-            assert len(served.clients.connections) <= 40
+            assert len(ingress.clients.connections) <= 40
             for caller in silent:
                 caller.writer.close()
 
@@ -208,19 +208,19 @@
 
 
 @pytest.mark.interpreted
-def test_evicts_silent_connections_before_one_in_the_middle_of_a_request(
+def test_evicts_silent_connections_before_one_with_a_partial_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a slow client that loses its half sent request to others that send nothing."""
+    """Guards against evicting a slow client with a partial request in favour of silent ones."""
     monkeypatch.setattr(idle_connections, "MIN_SILENCE_BEFORE_EVICTION_S", 0.0)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_connections = 40
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_connections = 40
             slow = await Caller.to(address)
             ping = resp(b"PING")
             slow.writer.write(ping[:-3])
-            await until(lambda: any(c.unparsed for c in served.clients.connections))
+            await until(lambda: any(c.unparsed for c in ingress.clients.connections))
             silent = [await Caller.to(address) for _ in range(200)]
             slow.writer.write(ping[-3:])
             assert await slow.answer() == b"PONG"
@@ -232,7 +232,7 @@
 
 def test_closes_after_consecutive_malformed_requests() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(resp(b"NO") * 300)
             for _ in range(client_connection.MAX_CONSECUTIVE_MALFORMED_REQUESTS):
@@ -240,7 +240,7 @@
             with pytest.raises((EOFError, ConnectionError)):
                 await caller.answer()
             assert (
-                served.clients.malformed_requests.count
+                ingress.clients.malformed_requests.count
                 == client_connection.MAX_CONSECUTIVE_MALFORMED_REQUESTS
             )
 
@@ -248,49 +248,49 @@
 
 
 @pytest.mark.interpreted
-def test_delivers_the_last_error_while_the_client_goes_on_sending(
+def test_delivers_the_last_error_while_the_client_keeps_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """60 MB follow a length that is rejected: little of it is read, and the client sees why."""
+    """60 MB follow a rejected length; little of them is read, and the client reads the error."""
     monkeypatch.setattr(client_connection, "LINGER_TIME_S", 0.2)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(b"*5\r\n$60000000\r\n")
             assert "too large" in str(await caller.answer())
-            client = next(iter(served.clients.connections))
+            client = next(iter(ingress.clients.connections))
             caller.writer.write(bytes(60_000_000))
-            await until(lambda: not served.clients.connections)
+            await until(lambda: not ingress.clients.connections)
             assert client.discarded_bytes < 2 * client_connection.MAX_DISCARDED_BYTES
             caller.writer.transport.abort()
 
     run(body())
 
 
-def test_bounds_partial_requests_over_all_connections() -> None:
+def test_limits_partial_requests_over_all_connections() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.clients.max_buffered_bytes = 100_000
+        async with serving(config()) as (ingress, address):
+            ingress.clients.max_buffered_bytes = 100_000
             part = b"*5\r\n$9\r\nAPI.WRITE\r\n$60000\r\n" + b"x" * 50_000
             callers = [await Caller.to(address) for _ in range(2)]
             callers[0].writer.write(part)
-            await until(lambda: served.clients.buffered_bytes >= 50_000)
+            await until(lambda: ingress.clients.buffered_bytes >= 50_000)
             callers[1].writer.write(part)
             assert "on the way" in str(await callers[1].answer())
-            assert served.clients.buffered_bytes <= 100_000
+            assert ingress.clients.buffered_bytes <= 100_000
 
     run(body())
 
 
 def test_serves_a_connection_that_is_accepted_while_the_listener_closes() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
             busy.sendall(resp(b"PING"))
-            served.clients.drain()  # before the loop has seen either of them
+            ingress.clients.drain()  # before the event loop has accepted either of them
             loop = asyncio.get_running_loop()
             for sock in (idle, busy):
                 sock.setblocking(False)
@@ -298,6 +298,6 @@
             for sock in (idle, busy):
                 assert await loop.sock_recv(sock, 100) == b""
                 sock.close()
-            await until(lambda: not served.clients.connections)
+            await until(lambda: not ingress.clients.connections)
 
     run(body())
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -14,7 +14,7 @@
 from ingress.testbed.deployment import CLASSES, PLANS
 from ingress.testbed.scenario import Fault
 from ingress.testbed.world import World
-from tests.stand import COUNT, Stand, run
+from tests.stand import COUNT, FleetHarness, run
 
 FAULTY = f"exec {sys.executable} -m tests.faulty"
 EVERYONE = set(range(COUNT))
@@ -35,17 +35,17 @@
 
 def backend_breaks(
     seen: list[tuple[Counter[int], Counter[int]]],
-) -> Callable[[Stand], Awaitable[None]]:
+) -> Callable[[FleetHarness], Awaitable[None]]:
     """A backend that the endpoint list has resets all connections; then it recovers.
 
     Notes the attempts at it, by gateway, from 2 s after all knew until it recovered, and
     afterwards.
     """
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         world, server = stand.world, stand.world.servers[2]
-        await stand.whole()
-        await stand.event(
+        await stand.wait_for_all_members()
+        await stand.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", 0.0)) == COUNT, "not all came to it before"
         )
         server.fault = "reset"
@@ -55,10 +55,10 @@
             "not all were told",
         )
         start = world.clock()
-        await stand.event(lambda: world.clock() > start + 2.0, "")
+        await stand.wait_for_testbed(lambda: world.clock() > start + 2.0, "")
         server.fault, mended = "", world.clock()
         await stand.until(EVERYONE, lambda f: not f["shunned"], "still kept from it")
-        await stand.event(
+        await stand.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", mended)) >= COUNT - 2,
             "not all came back to it",
         )
@@ -95,8 +95,8 @@
     """Four of an earlier release, four with clocks 2 s ahead; one backend is broken for all."""
     older, ahead = set(range(4)), set(range(4, 8))
 
-    async def case(stand: Stand) -> None:
-        await stand.whole()
+    async def case(stand: FleetHarness) -> None:
+        await stand.wait_for_all_members()
         said = await stand.until(
             EVERYONE, lambda f: f["heard"] == COUNT, "not all are heard by all"
         )
@@ -113,7 +113,7 @@
             "the older ones do not hear all",
         )
         assert sum(f["looks"]["told"] for f in newer.values()) >= 2
-        cuts = [f["cut"] for f in (await stand.whole()).values()]
+        cuts = [f["cut"] for f in (await stand.wait_for_all_members()).values()]
         assert max(cuts) - min(cuts) < 0.1, cuts
         stand.world.servers[2].fault = ""
 
@@ -135,14 +135,14 @@
 ) -> None:
     """It stalled under overload; what it held is ten seconds old. The breach goes by it at once."""
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         await stand.until({4}, lambda f: f["cuts"] > 0, "no overload was seen")
         frozen = stand.world.ingresses[4]
         assert frozen.life is not None
         frozen.life.pauses.append((stand.world.clock(), float("inf")))
         frozen.signal(signal.SIGSTOP)
         start = stand.world.clock()
-        await stand.event(lambda: stand.world.clock() > start + 10.0, "")
+        await stand.wait_for_testbed(lambda: stand.world.clock() > start + 10.0, "")
         frozen.signal(signal.SIGCONT)
         frozen.life.pauses[-1] = frozen.life.pauses[-1][0], stand.world.clock() + 0.5
         said = await stand.until(
@@ -156,23 +156,23 @@
 def test_a_backend_that_returns_cold_to_twelve_at_once_does_not_collapse() -> None:
     """And a surge of 3 s, whose retries do not outlast it."""
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         world = stand.world
-        await stand.whole()
+        await stand.wait_for_all_members()
         await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
         began = world.servers[2].start
         assert began is not None
-        await stand.event(
+        await stand.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", began.at)) >= COUNT // 2, "it is not sent to"
         )
         calm = world.clock()
         world.customers.surge("base", 6.0)
-        await stand.event(lambda: world.clock() > calm + 3.0, "")
+        await stand.wait_for_testbed(lambda: world.clock() > calm + 3.0, "")
         world.customers.surge("base", 1.0)
         end = world.clock()
         assert served(world, calm, end) < 0.8  # the trigger came about
         before = served(world, calm - 2.0, calm)
-        await stand.event(
+        await stand.wait_for_testbed(
             lambda: world.clock() > end + 1.5
             and served(world, world.clock() - 1.5, world.clock() - 0.5) > 0.9 * before,
             "it does not come back",
@@ -189,17 +189,17 @@
     ever.
     """
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         world = stand.world
-        await stand.whole()
-        await stand.event(
+        await stand.wait_for_all_members()
+        await stand.wait_for_testbed(
             lambda: served(world, world.clock() - 1.0, world.clock()) > 0.9, "not yet"
         )
         for server in world.servers:
             server.end()
             world.publish(server, "gone", 0.0)
         left = world.clock()
-        await stand.event(lambda: world.clock() > left + 16.0, "")
+        await stand.wait_for_testbed(lambda: world.clock() > left + 16.0, "")
         meanwhile = [x.kind for x in world.record.tries if x.sent > left + 2.0 and x.kind]
         # Much was offered, and nothing admitted.
         assert len(meanwhile) > 500
@@ -209,7 +209,7 @@
             server.begin_cold()
             world.publish(server, "ready", world.clock())
         back = world.clock()
-        await stand.event(
+        await stand.wait_for_testbed(
             lambda: world.clock() > back + 1.5
             and served(world, world.clock() - 1.5, world.clock() - 0.5) > 0.9,
             "it serves none for ever",
@@ -227,14 +227,14 @@
 def test_one_gateway_gets_ten_times_the_mean_and_the_fleet_serves_its_capacity() -> None:
     """At two and a half times the capacity, with clients that use all gateways in turn."""
 
-    async def case(stand: Stand) -> None:
+    async def case(stand: FleetHarness) -> None:
         customers = stand.world.customers
         customers.shift = lambda share: None  # type: ignore[method-assign]
         for customer in customers.everyone:  # type: ignore[union-attr]
             customer.spread, customer.first = COUNT, 0
             customer.weights = [55.0, *[1.0] * (COUNT - 1)]
         tries = stand.world.record.tries
-        await stand.event(
+        await stand.wait_for_testbed(
             lambda: sum(x.kind == "refused" for x in tries) > 200, "no overload was seen"
         )
 
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress on sockets: clients, the real policy, scripted backends."""
+"""The complete ingress on sockets, with clients, the real policy and scripted backends."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         writer.write(value(words[4]))
         await reader.read()
 
-    async def play() -> None:
+    async def exchange() -> None:
         async with peer, serving(config(entry(peer.address))) as (_, address):
             caller = await Caller.to(address)
             assert await caller.ask(command(cls="order", body=body)) == body
@@ -69,7 +69,7 @@
             assert b"k=0123456789abcdef" in words[3].split(b",")
 
     peer = Peer(script)
-    run(play())
+    run(exchange())
 
 
 def test_responses_keep_the_order_of_pipelined_requests() -> None:
@@ -83,8 +83,8 @@
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.policy = ScriptedPolicy(start_attempt)
+        async with peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(start_attempt)
             caller = await Caller.to(address)
             caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
             assert [await caller.answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
@@ -93,10 +93,10 @@
     run(body())
 
 
-def swap(old: bytes, new: bytes) -> bytes:
-    """Returns a command with other names and values, whose length is right."""
-    names = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
-    return resp(b"API.READ", b"%016x" % 7, b"id", names.replace(old, new))
+def command_with(old: bytes, new: bytes) -> bytes:
+    """Returns a command with one field replaced and correct lengths."""
+    fields = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
+    return resp(b"API.READ", b"%016x" % 7, b"id", fields.replace(old, new))
 
 
 @pytest.mark.parametrize(
@@ -111,16 +111,16 @@
         (command().replace(b"units=1", b"units=0"), "units"),
         (command().replace(b"spread=1", b"spread=_"), "spread"),
         (command().replace(b"first=0", b"first=-"), "first"),
-        (swap(b"first=0", b"first=1"), "first"),
-        (swap(b"spread=1", b"spread=2"), "spread"),
-        (swap(b"spread=1", b"spread=0"), "spread"),
+        (command_with(b"first=0", b"first=1"), "first"),
+        (command_with(b"spread=1", b"spread=2"), "spread"),
+        (command_with(b"spread=1", b"spread=0"), "spread"),
         *(
-            (swap(b"units=1", b"units=" + units), "bad number: units")
+            (command_with(b"units=1", b"units=" + units), "bad number: units")
             for units in (b"2", b"nan", b"inf", b"1_0", b"1e0", b"-1", b"+1", b" 1", b"")
         ),
         (command(d=0), "bad number: d"),
         (command(d=4001), "bad number: d"),
-        (swap(b"d=2", b"d=-2"), "bad number: d"),
+        (command_with(b"d=2", b"d=-2"), "bad number: d"),
         (command(extra=",d=5"), "twice"),
         (command(extra=",r=2"), "bad number: r"),
         (command(""), "no id"),
@@ -171,18 +171,18 @@
         b"x" * 100,
     ],
 )
-def test_closes_after_a_malformed_frame_once_owed_responses_are_sent(data: bytes) -> None:
-    made: list[Application] = []
+def test_closes_after_a_malformed_frame_once_pending_responses_are_sent(data: bytes) -> None:
+    applications: list[Application] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: made[0].clients.malformed_requests.count)
+        await until(lambda: applications[0].clients.malformed_requests.count)
         writer.write(value(b"served"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            made.append(served)
+        async with Peer(script) as peer, serving(config(entry(peer.address))) as (ingress, address):
+            applications.append(ingress)
             caller = await Caller.to(address)
             caller.writer.write(command() + data)
             assert await caller.answer() == b"served"
@@ -206,32 +206,34 @@
 
 def test_reports_a_disconnected_client_to_the_policy() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             stub = ScriptedPolicy(start_attempt)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             caller.writer.write(command())
             await until(lambda: peer.commands)
             caller.writer.close()
             await until(lambda: stub.events_of(ClientDisconnected))
-            assert not served.exchange.open_requests
+            assert not ingress.exchange.open_requests
 
     run(body())
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_responds_by_the_deadline_though_policy_and_backend_are_silent(sent: bool) -> None:
+def test_responds_by_the_deadline_even_if_policy_and_backend_are_silent(sent: bool) -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             stub = ScriptedPolicy(start_attempt if sent else None)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             clock = asyncio.get_running_loop().time
             start = clock()
             assert str(await caller.ask(command(d=300))) == "ERR failed"
             assert clock() - start > 0.2
             assert len(stub.events_of(ClientDisconnected)) == 1
-            await until(lambda: not served.exchange.attempts and not served.exchange.open_requests)
+            await until(
+                lambda: not ingress.exchange.attempts and not ingress.exchange.open_requests
+            )
             assert len(stub.events_of(AttemptEnded)) == sent
             assert await caller.ask(resp(b"PING")) == b"PONG"
 
@@ -242,12 +244,12 @@
     """The attempt times out first, and the policy has time to respond."""
 
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             caller = await Caller.to(address)
             assert isinstance(await caller.ask(command(d=500)), hiredis.ReplyError)
-            policy = served.exchange.policy
+            policy = ingress.exchange.policy
             assert isinstance(policy, Gateway)
-            assert not served.exchange.open_requests
+            assert not ingress.exchange.open_requests
             assert not policy.requests.by_id
 
     run(body())
@@ -255,9 +257,9 @@
 
 def test_rejection_carries_the_retry_after_time() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             waits = {"1": 0.0, "2": 1.2501}
-            served.exchange.policy = ScriptedPolicy(
+            ingress.exchange.policy = ScriptedPolicy(
                 lambda e: [RejectRequest(e.request_id, waits[e.request_id])]
             )
             caller = await Caller.to(address)
@@ -269,8 +271,8 @@
 
 def test_drops_a_second_final_response() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.exchange.policy = ScriptedPolicy(
+        async with serving(config()) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(
                 lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)]
             )
             caller = await Caller.to(address)
@@ -280,29 +282,27 @@
     run(body())
 
 
-def test_exception_in_the_policy_fails_one_request_alone(
-    caplog: pytest.LogCaptureFixture,
-) -> None:
-    """Actions from before the exception are carried out, the next timer above all."""
+def test_exception_in_the_policy_fails_only_one_request(caplog: pytest.LogCaptureFixture) -> None:
+    """Actions from before the exception are carried out, in particular the next timer."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
 
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.customer.endswith("9"):
                     stub.actions.append(SetTimer(0.0, 5))
-                    raise RuntimeError("a fault")
+                    raise RuntimeError("policy fault")
                 return start_attempt(event)
 
             stub = ScriptedPolicy(plan)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             caller.writer.write(command("one") + command("two", customer=9) + command("three"))
             assert await caller.answer() == b"one"
             assert str(await caller.answer()) == "ERR failed"
             assert await caller.answer() == b"three"
             await until(lambda: stub.events_of(TimerFired))
-            await until(lambda: not served.exchange.open_requests)
+            await until(lambda: not ingress.exchange.open_requests)
 
     run(body())
     assert sum("the policy failed" in record.getMessage() for record in caplog.records) == 1
@@ -313,11 +313,11 @@
         async with (
             backend(b"") as one,
             backend() as two,
-            serving(config(entry(one.address), entry(two.address, "s2"))) as (served, address),
+            serving(config(entry(one.address), entry(two.address, "s2"))) as (ingress, address),
         ):
 
             def plan(event: Event) -> list[Action]:
-                if isinstance(event, TimerFired):  # not one that the replaced policy had set
+                if isinstance(event, TimerFired):  # the replaced policy's timers may fire too
                     return [StartAttempt("1", "s2")] if event.token == 77 else []
                 return (
                     [*start_attempt(event), SetTimer(0.1, 77)]
@@ -326,7 +326,7 @@
                 )
 
             stub = ScriptedPolicy(plan)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             assert await caller.ask(command("x")) == b"x"
             assert [e.outcome for e in stub.events_of(AttemptEnded)] == [
@@ -338,19 +338,19 @@
     run(body())
 
 
-def test_supersedes_an_attempt_after_the_end_or_beyond_the_maximum() -> None:
+def test_supersedes_an_attempt_after_the_request_ended_or_beyond_the_maximum() -> None:
     async def body() -> None:
         async with (
             backend(b"-ERR failed\r\n") as peer,
-            serving(config(entry(peer.address))) as (served, address),
+            serving(config(entry(peer.address))) as (ingress, address),
         ):
 
             def plan(event: Event) -> list[Action]:
-                again = isinstance(event, AttemptEnded) and not event.finished and event.attempt < 4
-                return [StartAttempt(event.request_id, "s1")] if again else start_attempt(event)  # type: ignore[union-attr]
+                retry = isinstance(event, AttemptEnded) and not event.finished and event.attempt < 4
+                return [StartAttempt(event.request_id, "s1")] if retry else start_attempt(event)  # type: ignore[union-attr]
 
             stub = ScriptedPolicy(plan)
-            served.exchange.policy = stub
+            ingress.exchange.policy = stub
             caller = await Caller.to(address)
             assert str(await caller.ask(command(d=300))) == "ERR failed"
             ends = [(e.attempt, e.outcome) for e in stub.events_of(AttemptEnded)]
@@ -359,10 +359,10 @@
     run(body())
 
 
-def test_rejects_beyond_the_maximum_of_open_requests() -> None:
+def test_rejects_requests_beyond_the_maximum_of_open_requests() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.max_open_requests = 1
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.max_open_requests = 1
             caller = await Caller.to(address)
             other = await Caller.to(address)
             caller.writer.write(command())
@@ -374,8 +374,8 @@
 
 def test_rejects_a_request_whose_id_is_open() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
-            served.exchange.policy = ScriptedPolicy(start_attempt)
+        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingress.exchange.policy = ScriptedPolicy(start_attempt)
             one = await Caller.to(address)
             two = await Caller.to(address)
             one.writer.write(command("same", d=300))
@@ -385,7 +385,7 @@
             two.writer.write(command("same", d=300))  # the first request with this id has ended
             assert str(await two.answer()) == "ERR failed"
             assert len(peer.commands) == 2
-            assert not served.exchange.client_request_ids
+            assert not ingress.exchange.client_request_ids
 
     run(body())
 
