--- a/ingress/__init__.py
+++ b/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Admission decisions for gateways of a service sold by plan."""
+"""Proxy with admission control and fleet-wide quotas for a service that is sold by plan."""
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -1,4 +1,4 @@
-"""One instance: `python -m ingress`, with the configuration file that EDGE_CONFIG names."""
+"""Runs one instance: `python -m ingress`, configured by the file that EDGE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def main() -> int:
-    """Chooses the form of the hot modules before anything imports them, then serves.
+    """Selects the compiled or interpreted hot modules before anything imports them, then serves.
 
     Returns:
-        The exit status: that of `ingress.service.main`, or 2 if the required form is missing.
+        The exit status of `ingress.service.main`, or 2 if the required form is unavailable.
     """
     try:
         form = use()
--- a/ingress/application.py
+++ b/ingress/application.py
@@ -1,4 +1,4 @@
-"""Wiring of one instance: listeners, exchange, policy and backends on this platform."""
+"""Assembles one instance: listeners, exchange, policy and backends on this platform."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 class Application:
     """One instance, from its configuration to the end of its graceful shutdown.
 
-    What the operator's file adds is imported only where the file asks for it.
+    Components that the operator's file enables are imported only if the file asks for them.
 
     Args:
         config: The platform's configuration.
-        clock: Time in seconds; the machine's where none is given.
-        operator: What this installation adds.
+        clock: Time in seconds; defaults to the machine's clock.
+        operator: Additional features of this installation; None without an operator's file.
 
     Raises:
-        ConfigurationError: Something that the operator's file asks for can't be had.
+        ConfigurationError: A feature that the operator's file asks for is unavailable.
         OSError: An address can't be bound.
     """
 
@@ -84,7 +84,7 @@
     def _make_backends(
         self, settings: Settings, operator: OperatorConfig | None, timers: TimerWheel
     ) -> Upstream:
-        """Makes the pools of backend connections, inside the handover where that is on."""
+        """Creates the pools of backend connections, wrapped by the handover if it is enabled."""
         config = self.config
         handover = self._make_handover(operator)
         on_ended = self.exchange.attempt_ended if handover is None else handover.ended
@@ -131,7 +131,7 @@
     def _make_listeners(
         self, settings: Settings, operator: OperatorConfig | None
     ) -> list[ClientListener]:
-        """Makes the platform's listener, then the operator's; they share out the limits evenly."""
+        """Creates the platform's listener, then the operator's; they share the limits evenly."""
         config = self.config
         additional: tuple[AdditionalListener, ...] = ()
         if operator is not None:
@@ -179,7 +179,7 @@
         """Serves until `stop` is set, then shuts down gracefully.
 
         Raises:
-            ConfigurationError: A component can't be opened with its configuration.
+            ConfigurationError: The configuration of a component does not allow it to be opened.
             OSError: A component can't be opened.
         """
         config = self.config
@@ -188,9 +188,9 @@
             await component.open()
         self.discovery.start(self.reloader.current.discovery)
         if not config.settings.discovery_polled:
-            # What the agent has counts as known from its first moment: a drain that began before
-            # this process did must be heard before the first request.  A silent agent costs one
-            # timeout.
+            # This instance is expected to know all that the agent does, from the start on: it must
+            # learn of a drain that began before this process did ahead of the first request.  A
+            # silent agent delays the start by one timeout.
             await self.discovery.first_call_ended.wait()
         for listener in self.listeners:
             listener.open()
@@ -200,14 +200,14 @@
         if self.membership is not None:
             self.membership.close()
         await drain(self.exchange, self.listeners, config.settings.classes, self.loop.time)
-        log.info("%s ends", config.name)
+        log.info("%s has drained", config.name)
         await self.discovery.stop()
         self.backends.close()
         if self.counter is not None:
             self.counter.close()
 
     def update_endpoints(self, kind: EndpointListKind, endpoints: EndpointList) -> None:
-        """Tells backends and policy of a list, in its translated form where backends differ."""
+        """Passes a list to backends and policy, translated if protocol versions are configured."""
         if self.translator is not None:
             complete = kind is not EndpointListKind.UPDATE
             endpoints = self.translator.translate(endpoints, complete, self.clock())
@@ -216,15 +216,16 @@
         )
 
     def reload(self, config: Config) -> None:
-        """Applies a configuration that was replaced.
+        """Applies a replaced configuration.
 
         Raises:
-            ConfigurationError: It is another instance's; nothing of it is applied.
+            ConfigurationError: The configuration belongs to another instance or another service;
+                none of it is applied.
         """
         self.reloader.apply(config)
 
     def counts(self) -> dict[str, Any]:
-        """Returns what happened since the start; monitoring relies on the names."""
+        """Returns the counts since the start; monitoring relies on the keys."""
         counts: dict[str, Any] = {
             "name": self.config.name,
             "requests": self.exchange.request_count,
--- a/ingress/service.py
+++ b/ingress/service.py
@@ -1,4 +1,4 @@
-"""One instance as a process: configuration, signals, exit status."""
+"""Runs one instance as a process: configuration, signals, exit status."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 EXIT_OK = 0
 EXIT_CANNOT_LISTEN = 1
 EXIT_BAD_CONFIGURATION = 2
-CONFIG_VARIABLE = "EDGE_CONFIG"  # names the platform's configuration file
+CONFIG_VARIABLE = "EDGE_CONFIG"  # path of the platform's configuration file
 LOG_LEVEL_VARIABLE = "INGRESS_LOG_LEVEL"
-# "debug": also where each idempotent request is placed.
+# "debug" also logs the placement of each idempotent request.
 LOG_LEVELS = {"info": logging.INFO, "debug": logging.DEBUG}
 OPERATOR_OPTION = "--operator"
-DEFERRED_SIGNALS = {signal.SIGHUP, signal.SIGUSR1}  # until their handlers are installed
-SETTLE_S = 0.01  # for what the start has left in the event loop
+DEFERRED_SIGNALS = {signal.SIGHUP, signal.SIGUSR1}  # blocked until their handlers are installed
+STARTUP_SETTLE_S = 0.01  # for the callbacks that the startup scheduled
 
 log = logging.getLogger("ingress")
 
 
 def load() -> Config:
-    """Reads the configuration as the file holds it now.
+    """Reads the configuration from the current content of the file.
 
     Raises:
-        ConfigurationError: It is missing or can't be used.
+        ConfigurationError: The configuration is missing or invalid.
     """
     path = os.environ.get(CONFIG_VARIABLE, "")
     if not path:
@@ -54,7 +54,7 @@
     """Reads the operator's file, if the command line names one.
 
     Raises:
-        ConfigurationError: The command line is wrong, or the file can't be used.
+        ConfigurationError: The command line or the file is invalid.
     """
     if not arguments:
         return None
@@ -67,18 +67,18 @@
 
 
 async def serve(config: Config, operator: OperatorConfig | None) -> None:
-    """Runs one instance until SIGTERM or SIGINT, and to the end of its graceful shutdown.
+    """Runs one instance until SIGTERM or SIGINT, through the end of its graceful shutdown.
 
     Raises:
-        ConfigurationError: Something that is configured can't be had.
+        ConfigurationError: A configured feature is unavailable.
         OSError: An address can't be bound.
     """
     stop = asyncio.Event()
     application = Application(config, operator=operator)
     _install_signal_handlers(application, stop)
-    # Time of requests counts from when they are read.  Clients may come only once the loop has done
-    # what the start left to do, else theirs would wait unread meanwhile.
-    await asyncio.sleep(SETTLE_S)
+    # The time of a request counts from when it is read.  Clients may connect only after the event
+    # loop has run the callbacks of the startup; otherwise their requests would wait unread.
+    await asyncio.sleep(STARTUP_SETTLE_S)
     await application.run(stop)
 
 
@@ -92,11 +92,11 @@
 
 
 def _reload(application: Application) -> None:
-    """Reads the configuration again; one that is broken or half written changes nothing."""
+    """Reads the configuration again; an invalid or half-written one changes nothing."""
     try:
         application.reload(load())
     except ConfigurationError as error:
-        log.error("configuration rejected: %s", error)  # noqa: TRY400 - the text names the cause
+        log.error("configuration rejected: %s", error)  # noqa: TRY400 - the message names the cause
 
 
 def _log_counts(application: Application) -> None:
@@ -104,10 +104,10 @@
 
 
 def log_level() -> int:
-    """Returns from which level on messages are logged.
+    """Returns the lowest level of messages that are logged.
 
     Raises:
-        ConfigurationError: The variable names no level.
+        ConfigurationError: The variable names an unknown level.
     """
     name = os.environ.get(LOG_LEVEL_VARIABLE, "") or "info"
     if name not in LOG_LEVELS:
@@ -117,16 +117,16 @@
 
 
 def main(arguments: list[str], form: Form) -> int:
-    """Serves until SIGTERM.
+    """Serves until SIGTERM or SIGINT.
 
     Args:
-        arguments: The command line, without the program.
-        form: Of the hot modules, for the log.
+        arguments: The command line without the program name.
+        form: Form of the hot modules, which is logged.
 
     Returns:
-        0 after a graceful shutdown, 1 if an address can't be bound, 2 for a bad configuration.
+        0 after a graceful shutdown, 1 if an address can't be bound, 2 for an invalid configuration.
     """
-    # A signal that comes before its handler is installed waits, so that no reload is missed.
+    # A signal that arrives before its handler is installed stays pending: no reload is missed.
     signal.pthread_sigmask(signal.SIG_BLOCK, DEFERRED_SIGNALS)
     try:
         logging.basicConfig(
@@ -137,8 +137,8 @@
     except ConfigurationError as error:
         return _fail(f"{error}", EXIT_BAD_CONFIGURATION)
     log.info("%s", form)
-    # What was imported is never released.  Full collections would visit all of it each time,
-    # for some 20 ms in which no request is served.
+    # Imported objects are never released.  Each full collection would visit all of them, which
+    # takes about 20 ms in which no request is served.
     gc.freeze()
     try:
         uvloop.run(serve(config, operator))
--- a/ingress/simulator_adapter.py
+++ b/ingress/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The `sim` command: the simulator's wire on standard input and output, to and from gateways.
+"""The `sim` command: connects gateways to the simulator by standard input and output.
 
-It only translates.  Unknown keys are skipped; a malformed line ends the program with a message that
-names what was wrong; an exception in the policy becomes a fault report.
+It only translates the wire protocol.  Unknown keys are skipped; a malformed line ends the program
+with a message that names the error; an exception in the policy becomes a fault report.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 
 
 class MalformedInputError(Exception):
-    """A line of the input is not what the wire describes."""
+    """A line of the input violates the wire protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class _GatewayStart:
-    """A gateway is to be made."""
+    """Instruction to create a gateway."""
 
     instance: int
     settings: Settings
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _GatewayEvent:
-    """A gateway is to handle an event."""
+    """An event for a gateway to handle."""
 
     instance: int
     event: Event
@@ -58,12 +58,12 @@
         self.endpoint_lists: dict[int, tuple[Backend, ...]] = {}
 
     def replies(self, now: float, messages: Iterable[Message]) -> list[Reply]:
-        """Returns what the gateways do on the messages of one batch, in order.
+        """Returns the replies of the gateways to the messages of one batch, in order.
 
         An exception in a gateway ends the list with a fault report.
 
         Raises:
-            MalformedInputError: A message is not what the wire describes.
+            MalformedInputError: A message violates the wire protocol.
         """
         replies: list[Reply] = []
         for message in messages:
@@ -74,7 +74,7 @@
             try:
                 for action in self._actions(now, delivery):
                     replies.append(write_action(action) | {"ingress": instance})
-            except Exception as error:  # the simulator ends its run with this text
+            except Exception as error:  # the simulator ends its run and shows this text
                 cause = f"{type(error).__name__}: {error} at {now} on {message['m']}"
                 replies.append({"m": "BailOut", "ingress": instance, "reason-text": cause})
                 return replies
@@ -96,7 +96,7 @@
             raise MalformedInputError(cause) from error
 
     def _read(self, message: Message) -> _GatewayStart | _GatewayEvent | None:
-        """Returns what a gateway has to do; None if the message only changed what is kept here."""
+        """Returns the work for a gateway; None if the message only changed the adapter's state."""
         name = message["m"]
         if name == "SnapshotRows":
             entries = tuple(read_backend(entry) for entry in message["members-list"])
@@ -125,12 +125,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Messages that belong to one moment.
+    """Messages of one point in time.
 
     Attributes:
-        now: That moment, in the simulation's seconds.
-        messages: The messages, in order.
-        last_line: The number of the input's line that ended the batch.
+        now: Time of the batch, in seconds of the simulation.
+        messages: Messages in order.
+        last_line: Number of the input line that ended the batch.
     """
 
     now: float
@@ -141,15 +141,15 @@
 def _parse_line(line: str) -> Message:
     message = json.loads(line)
     if not isinstance(message, dict):
-        raise TypeError("a line must hold an object")
+        raise TypeError("a line must contain a JSON object")
     return message
 
 
 def read_batches(source: Iterable[str]) -> Iterator[Batch]:
-    """Yields each batch of the input as soon as its last line came.
+    """Yields each batch of the input as soon as its last line has arrived.
 
     Raises:
-        MalformedInputError: A line is no message, stands outside a batch, or a batch has no end.
+        MalformedInputError: A line is not a message or is outside a batch, or a batch has no end.
     """
     now: float | None = None
     messages: list[Message] = []
@@ -166,7 +166,7 @@
         except (KeyError, TypeError, ValueError) as error:
             raise MalformedInputError(f"line {number}: {error}") from error
         if now is None:
-            raise MalformedInputError(f"line {number}: {name!r} stands outside a batch")
+            raise MalformedInputError(f"line {number}: {name!r} is outside a batch")
         if name == "Eob":
             yield Batch(now, messages, number)
             now = None
@@ -177,10 +177,10 @@
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answers each batch of `source` on `sink` until the input ends.
+    """Writes the replies to each batch of `source` to `sink` until the input ends.
 
     Raises:
-        MalformedInputError: The input is not what the wire describes; the text names the line.
+        MalformedInputError: The input violates the wire protocol; the message names the line.
     """
     adapter = SimulatorAdapter()
     for batch in read_batches(source):
@@ -194,7 +194,7 @@
 
 
 def main() -> int:
-    """Serves standard input on standard output; returns the exit status."""
+    """Serves standard input and output; returns the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedInputError as error:
--- a/ingress/simulator_messages.py
+++ b/ingress/simulator_messages.py
@@ -1,7 +1,7 @@
-"""The messages of the simulator's wire, to and from the policy's events and actions.
+"""Translates messages of the simulator's wire protocol to policy events, and actions to messages.
 
-Beside this module only `simulator_adapter`, `wire_settings` and `platform.config` know the names
-of the wire.
+Only this module, `simulator_adapter`, `wire_settings` and `platform.config` use the names of the
+wire protocol.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from ingress.wire_settings import LOAD_FIELDS, read_enum
 
 Message = Mapping[str, Any]
-"""One message of the wire, as it was read from JSON."""
+"""One message of the wire protocol, decoded from JSON."""
 Reply = dict[str, Any]
 """One message to the simulator."""
 
@@ -81,7 +81,7 @@
 
 
 def read_backend(entry: Message) -> Backend:
-    """Returns a backend from its entry in a numbered list."""
+    """Reads a backend from its entry in a numbered endpoint list."""
     return Backend(
         id=entry["backend"],
         zone=entry.get("failure-domain", ""),
@@ -171,7 +171,7 @@
     "Whisper": _read_peer_message,
     "CounterReply": _read_counter_reply,
 }
-"""What reads an event, by the message that carries it, but for `BackendsChanged`."""
+"""Functions that read an event, by message name; `BackendsChanged` is read by the adapter."""
 
 
 def _write_request_action(
@@ -203,10 +203,10 @@
 
 
 def write_action(action: Action) -> Reply:
-    """Returns the wire's message for an action, without the instance that it belongs to.
+    """Returns the wire message for an action, without the instance that it belongs to.
 
     Raises:
-        TypeError: It is no action that the wire has a message for.
+        TypeError: The wire protocol has no message for the action.
     """
     match action:
         case StartAttempt() | CancelAttempt() | RejectRequest() | FailRequest():
--- a/ingress/wire_settings.py
+++ b/ingress/wire_settings.py
@@ -1,7 +1,7 @@
-"""Reads settings and the names of load figures as the simulator's wire and `EDGE_CONFIG` have them.
+"""Reads settings and names of load figures from the simulator's wire protocol and `EDGE_CONFIG`.
 
-Beside this module only `simulator_messages`, `simulator_adapter` and `platform.config` know the
-names of the wire.
+Only this module, `simulator_messages`, `simulator_adapter` and `platform.config` use the names of
+the wire protocol.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 )
 
 Source = Mapping[str, Any]
-"""One object of the settings, as it was read from JSON."""
+"""One object of the settings, decoded from JSON."""
 
 LOAD_FIELDS: Final = {
     "active": "inflight",
@@ -29,7 +29,7 @@
     "rps": "qps",
     "err_rps": "eps",
 }
-"""Fields of a load report, by their name on the wire."""
+"""Fields of a load report, by their name in the wire protocol."""
 
 RETRY_SEMANTICS: Final = {
     "safe": RetrySemantics.IDEMPOTENT,
@@ -47,14 +47,14 @@
 
 
 def read_enum(key: str, value: object, members: Mapping[str, EnumT]) -> EnumT:
-    """Returns the member that a value of the wire stands for.
+    """Returns the enum member for a value of the wire protocol.
 
     Raises:
-        ValueError: There is none; the text names key, value and what is allowed.
+        ValueError: The value is unknown; the message names key, value and allowed values.
     """
     member = members.get(value) if isinstance(value, str) else None
     if member is None:
-        raise ValueError(f"{key}: {value!r} is none of {', '.join(members)}")
+        raise ValueError(f"{key}: {value!r} is not one of {', '.join(members)}")
     return member
 
 
@@ -94,8 +94,8 @@
     """Returns the settings of a `Start` message or of `EDGE_CONFIG`.
 
     Raises:
-        KeyError: A key that has no default is missing.
-        TypeError, ValueError, AttributeError: A value has another type, or is not allowed.
+        KeyError: A key without a default is missing.
+        TypeError, ValueError, AttributeError: A value has the wrong type or is not allowed.
     """
     limits: Source = source["limits"]
     rules: Source = source["rules"]
