--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""EDGE_CONFIG: typed values, and one message that names the key when it can't be used."""
+"""EDGE_CONFIG: typed values, and for an invalid one a single message that names the key."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
     ],
 )
 def test_an_error_names_the_key_in_one_line(changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigurationError) as caught:
+    with pytest.raises(ConfigurationError) as error:
         read_config(config_text(**changes))
-    assert key in str(caught.value)
-    assert "\n" not in str(caught.value)
+    assert key in str(error.value)
+    assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text, encoding="utf-8")
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress"],
         check=False,
         cwd=ROOT,
@@ -72,6 +72,6 @@
         timeout=60,
         env=os.environ | {"EDGE_CONFIG": str(path)},
     )
-    assert done.returncode != 0
-    [line] = done.stderr.splitlines()
+    assert completed.returncode != 0
+    [line] = completed.stderr.splitlines()
     assert key in line
--- a/tests/test_drain_propagation.py
+++ b/tests/test_drain_propagation.py
@@ -1,4 +1,4 @@
-"""Endpoint lists that come late, twice, old or not at all: a drain that is known holds."""
+"""A known drain persists when endpoint lists are late, repeated, outdated or missing."""
 
 from __future__ import annotations
 
@@ -36,30 +36,30 @@
 from tests.support.pools import PoolHarness
 from tests.test_endpoint_discovery import Agent, listing
 
-HERE = ("127.0.0.1", 6379)
+ADDRESS = ("127.0.0.1", 6379)
 
 
-def state(found: EndpointList, name: str) -> Readiness:
-    return next(b.readiness for b in found.backends if b.id == name)
+def readiness_of(endpoints: EndpointList, name: str) -> Readiness:
+    return next(b.readiness for b in endpoints.backends if b.id == name)
 
 
 class SwitchedAgent:
-    """An agent that is silent while `down`: calls made then are never answered, also not later."""
+    """An agent that is silent while `down`; calls made then are never answered, even later."""
 
     def __init__(self, down: bool) -> None:
         self.down = down
-        self.asked: list[tuple[float, str]] = []
+        self.calls: list[tuple[float, str]] = []
         self.peer = Peer(self.script)
-        self.now: bytes = listing(1, True)
+        self.answer: bytes = listing(1, True)
 
     async def script(self, _: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
             path = head.split(b" ")[1].decode()
-            self.asked.append((time.monotonic(), path))
+            self.calls.append((time.monotonic(), path))
             if self.down or path.endswith(f"wait_ms={module.LONG_POLL_MS}"):
                 await asyncio.Event().wait()
             writer.write(
-                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(self.now), self.now)
+                b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(self.answer), self.answer)
             )
 
 
@@ -68,39 +68,39 @@
 def test_after_an_outage_of_the_agent_a_drain_is_read_within_half_its_grace(
     grace: float, seed: int, outage: int
 ) -> None:
-    """A call that went out just before the return never has an answer; the next one has."""
-    one = WatchBackoff(Random(seed), grace)
+    """A call made just before the agent returns is never answered; the next one is."""
+    backoff = WatchBackoff(Random(seed), grace)
     for _ in range(outage):
-        worst = one.call_timeout() + one.record_failure(False)
+        worst = backoff.call_timeout() + backoff.record_failure(False)
         assert worst <= max(grace, watch_backoff.MIN_DRAIN_GRACE_S) * (1 - DRAIN_GRACE_FRACTION)
         assert worst >= 0.2 * watch_backoff.LOCAL_TIMEOUT_FRACTION * max(
             grace, watch_backoff.MIN_DRAIN_GRACE_S
-        )  # the calls of an outage are bounded
+        )  # limits the rate of calls during an outage
     assert (
         WatchBackoff(Random(seed)).call_timeout() == watch_backoff.FIRST_CALL_TIMEOUT_S
-    )  # where one service serves all, it is spared
+    )  # a service shared by all instances is called less often
 
 
-def test_a_drain_known_at_the_return_of_a_silent_agent_is_read_in_time() -> None:
+def test_a_drain_is_read_in_time_when_a_silent_agent_returns() -> None:
     async def body() -> None:
         agent = SwitchedAgent(down=True)
         received: list[tuple[float, EndpointList]] = []
         async with agent.peer:
             watch = EndpointDiscovery(
                 agent.peer.address,
-                lambda _, found: received.append((time.monotonic(), found)),
+                lambda _, endpoints: received.append((time.monotonic(), endpoints)),
                 WatchBackoff(Random(1), 1.0),
                 40,
             )
             task = asyncio.create_task(watch.run())
-            await until(lambda: len(agent.asked) >= 4)  # none of the calls waits for seconds
-            agent.now = listing(41, False, entry(HERE, "s1", "draining"))
+            await until(lambda: len(agent.calls) >= 4)  # no call waits for seconds
+            agent.answer = listing(41, False, entry(ADDRESS, "s1", "draining"))
             agent.down = False
-            back = time.monotonic()
+            returned_at = time.monotonic()
             await until(lambda: received)
-            calls = [at for at, _ in agent.asked if at >= back]
-            assert len(calls) <= 2  # the one after the last that was lost, and the watch
-            assert state(received[0][1], "s1") is Readiness.DRAINING
+            calls = [at for at, _ in agent.calls if at >= returned_at]
+            assert len(calls) <= 2  # the first answered call, and the continued watch
+            assert readiness_of(received[0][1], "s1") is Readiness.DRAINING
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
@@ -108,42 +108,42 @@
 
 
 def test_requests_wait_for_the_first_answer_of_the_agent() -> None:
-    """The list that came with the configuration is old: the agent has long had the drain."""
+    """The initial endpoint list is outdated: the agent already knows of the drain."""
     release = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
             await release.wait()
-            data = listing(9, False, entry(HERE, "s1", "draining"))
+            data = listing(9, False, entry(ADDRESS, "s1", "draining"))
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(data), data))
 
     async def body() -> None:
         async with Peer(script) as agent, backend() as peer:
-            served = Application(
+            application = Application(
                 config(entry(peer.address), discovery="{}:{}".format(*agent.address))
             )
             stop = asyncio.Event()
-            task = asyncio.create_task(served.run(stop))
+            task = asyncio.create_task(application.run(stop))
             await until(lambda: agent.connections)
             with pytest.raises(ConnectionError):
-                await Caller.to(served.clients.listening_socket.getsockname())
+                await Caller.to(application.clients.listening_socket.getsockname())
             release.set()
-            caller = await Caller.to(await listens(served))
+            caller = await Caller.to(await listening_address(application))
             assert "BUSY" in str(await caller.ask(command("one")))
             assert not peer.commands
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            served.clients.close()
+            application.clients.close()
 
     run(body())
 
 
-async def listens(served: Application) -> Any:
-    await served.serving.wait()
-    return served.clients.listening_socket.getsockname()
+async def listening_address(application: Application) -> Any:
+    await application.serving.wait()
+    return application.clients.listening_socket.getsockname()
 
 
-def test_a_silent_agent_does_not_keep_a_new_process_from_serving() -> None:
+def test_a_silent_agent_does_not_prevent_a_new_process_from_serving() -> None:
     async def body() -> None:
         agent = SwitchedAgent(down=True)
         async with agent.peer, backend() as peer:
@@ -155,36 +155,38 @@
     run(body())
 
 
-def test_after_a_reload_the_former_agent_is_heard_until_the_new_one_answers() -> None:
-    """The former agent tells of a drain while the new one is silent, the new one of another."""
+def test_after_a_reload_the_previous_agent_is_watched_until_the_new_one_answers() -> None:
+    """The previous agent reports a drain while the new one is silent, the new one another."""
 
     async def body() -> None:
-        old = Agent(listing(40, True, entry(HERE, "s1"), entry(HERE, "s2")))
+        old = Agent(listing(40, True, entry(ADDRESS, "s1"), entry(ADDRESS, "s2")))
         new = SwitchedAgent(down=True)
         async with old.peer, new.peer:
-            served = Application(config(discovery="{}:{}".format(*old.peer.address)))
+            application = Application(config(discovery="{}:{}".format(*old.peer.address)))
             received: list[tuple[EndpointListKind, EndpointList]] = []
-            served.discovery.on_list = lambda kind, listing: received.append((kind, listing))
-            task = asyncio.create_task(served.run(asyncio.Event()))
-            await until(lambda: len(old.asked) == 2)
-            served.reload(config(discovery="{}:{}".format(*new.peer.address)))
-            await until(lambda: new.asked)
-            old.answers.append(listing(41, False, entry(HERE, "s1", "draining")))
+            application.discovery.on_list = lambda kind, listing: received.append((kind, listing))
+            task = asyncio.create_task(application.run(asyncio.Event()))
+            await until(lambda: len(old.paths) == 2)
+            application.reload(config(discovery="{}:{}".format(*new.peer.address)))
+            await until(lambda: new.calls)
+            old.answers.append(listing(41, False, entry(ADDRESS, "s1", "draining")))
             await until(
                 lambda: old.peer.ended
-            )  # its silent watch is over, and the next call tells of it
-            await until(lambda: any(found.version == 41 for _, found in received))
-            # The new one is behind: it does not know of that drain yet.
-            new.now = listing(39, True, entry(HERE, "s1"), entry(HERE, "s2", "draining"))
+            )  # its silent watch timed out, and the next call reports the drain
+            await until(lambda: any(endpoints.version == 41 for _, endpoints in received))
+            # The new agent is behind: it does not know of that drain yet.
+            new.answer = listing(39, True, entry(ADDRESS, "s1"), entry(ADDRESS, "s2", "draining"))
             new.down = False
             await until(lambda: received[-1][1].version == 39)
             assert (
-                state(received[-1][1], "s1") is state(received[-1][1], "s2") is Readiness.DRAINING
+                readiness_of(received[-1][1], "s1")
+                is readiness_of(received[-1][1], "s2")
+                is Readiness.DRAINING
             )
-            await until(lambda: old.peer.ended == old.peer.connections)  # heard no more
+            await until(lambda: old.peer.ended == old.peer.connections)  # no longer watched
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-            served.clients.close()
+            application.clients.close()
 
     run(body())
 
@@ -196,25 +198,27 @@
 
     async def body() -> None:
         agent = Agent(
-            listing(50, True, entry(HERE, "s1", "draining")),
-            listing(3, True, entry(HERE, "s1")),
+            listing(50, True, entry(ADDRESS, "s1", "draining")),
+            listing(3, True, entry(ADDRESS, "s1")),
             None,
-            *[listing(4, True, entry(HERE, "s1"))] * 3,
+            *[listing(4, True, entry(ADDRESS, "s1"))] * 3,
         )
         received: list[EndpointList] = []
         async with agent.peer:
             watch = EndpointDiscovery(
                 agent.peer.address,
-                lambda _, found: received.append(found),
+                lambda _, endpoints: received.append(endpoints),
                 WatchBackoff(Random(1), 1.0),
             )
             task = asyncio.create_task(watch.run())
             await until(lambda: len(received) >= 3)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        assert [state(found, "s1") for found in received[:2]] == [Readiness.DRAINING] * 2
-        assert state(received[-1], "s1") is Readiness.READY  # the agent has restarted indeed
-        assert agent.asked.count("/api/targets") >= 2
+        assert [readiness_of(endpoints, "s1") for endpoints in received[:2]] == [
+            Readiness.DRAINING
+        ] * 2
+        assert readiness_of(received[-1], "s1") is Readiness.READY  # the agent did restart
+        assert agent.paths.count("/api/targets") >= 2
 
     run(body())
 
@@ -232,13 +236,13 @@
     tracker = DrainTracker()
     now = 100.0
     last: tuple[float, int, float] | None = None  # start, version and time of the newest drain
-    for version, readiness, started, after in rows:
-        now += after
-        [found] = tracker.apply(
+    for version, readiness, started, delay in rows:
+        now += delay
+        [corrected] = tracker.apply(
             version, (Backend("s1", readiness=readiness, started_at=started),), now
         )
         if readiness is not Readiness.READY:
-            assert found.readiness is readiness
+            assert corrected.readiness is readiness
             last = (
                 started,
                 max(
@@ -253,21 +257,21 @@
             and version < last[1]
             and now < last[2] + drain_tracker.MAX_NOTICE_AGE_S
         ):
-            assert found.readiness is Readiness.DRAINING
+            assert corrected.readiness is Readiness.DRAINING
         else:
-            assert found.readiness is Readiness.READY
+            assert corrected.readiness is Readiness.READY
             last = None
     assert len(tracker.notices) <= 1
 
 
 def test_no_request_is_first_written_to_a_draining_backend_after_half_its_grace() -> None:
-    """The other half is for the agent, which may have known it earlier than it could be read."""
+    """The other half covers the delay between the agent learning of it and this instance."""
 
     async def body() -> None:
         async with backend(value(b"hello")) as peer:
             pool = PoolHarness(peer.address)
             pool.update((Backend("s0", readiness=Readiness.DRAINING), peer.address), full=False)
-            pool.clock_offset = 0.4  # of a grace of one second; a machine may be slow
+            pool.clock_offset = 0.4  # of a grace of 1 s, with a margin for a slow machine
             pool.start()
             await pool.outcome()
             pool.clock_offset = 0.55
--- a/tests/test_endpoint_discovery.py
+++ b/tests/test_endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""The watch: complete lists, changes, versions that start anew, and an agent that fails."""
+"""Endpoint discovery: complete lists, changes, restarted versions, and a failing agent."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from ingress.policy.events import EndpointListKind, Readiness
 from tests.peers import Peer, Reader, Writer, entry, run, until
 
-HERE = ("127.0.0.1", 6379)
-OVERLOADED = b"503"  # an agent's answer that turns the call away
+ADDRESS = ("127.0.0.1", 6379)
+OVERLOADED = b"503"  # represents an answer that rejects the call
 
 
 def listing(version: int, full: bool, *rows: dict[str, Any]) -> bytes:
@@ -29,21 +29,21 @@
 
 
 class Agent:
-    """Gives one answer after another, then is silent.
+    """An agent that gives scripted answers in turn, then stays silent.
 
-    None stands for no answer at all, b"" ends the connection.
+    None represents no answer, b"" closes the connection.
     """
 
     def __init__(self, *answers: bytes | None) -> None:
         self.answers = list(answers)
-        self.asked: list[str] = []
-        self.at: list[float] = []
+        self.paths: list[str] = []
+        self.times: list[float] = []
         self.peer = Peer(self.script)
 
     async def script(self, _: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
-            self.asked.append(head.split(b" ")[1].decode())
-            self.at.append(time.monotonic())
+            self.paths.append(head.split(b" ")[1].decode())
+            self.times.append(time.monotonic())
             answer = self.answers.pop(0) if self.answers else None
             if answer == b"":
                 return
@@ -59,17 +59,17 @@
 async def watch(
     agent: Agent, calls: int, version: int | None = None
 ) -> list[tuple[EndpointListKind, EndpointList]]:
-    """What was lists until the agent was asked so many times."""
+    """Returns the lists reported until the agent has received so many calls."""
     lists: list[tuple[EndpointListKind, EndpointList]] = []
     async with agent.peer:
         discovery = EndpointDiscovery(
             agent.peer.address,
-            lambda kind, found: lists.append((kind, found)),
+            lambda kind, endpoints: lists.append((kind, endpoints)),
             WatchBackoff(Random(1)),
             version,
         )
         task = asyncio.create_task(discovery.run())
-        await until(lambda: len(agent.asked) >= calls)
+        await until(lambda: len(agent.paths) >= calls)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
     return lists
@@ -81,13 +81,15 @@
 def test_reports_a_complete_list_and_then_changes() -> None:
     async def body() -> None:
         agent = Agent(
-            listing(41, True, entry(HERE, started=0), entry(HERE, "s2", started=1_700_000_000_500)),
-            listing(43, False, entry(HERE, "s2", "draining")),
+            listing(
+                41, True, entry(ADDRESS, started=0), entry(ADDRESS, "s2", started=1_700_000_000_500)
+            ),
+            listing(43, False, entry(ADDRESS, "s2", "draining")),
             listing(44, False),
-            listing(50, True, entry(HERE)),
+            listing(50, True, entry(ADDRESS)),
         )
         lists = await watch(agent, 5)
-        assert agent.asked == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
+        assert agent.paths == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
         assert [kind for kind, _ in lists] == [
             EndpointListKind.COMPLETE,
             EndpointListKind.UPDATE,
@@ -95,47 +97,52 @@
         ]
         assert [b.started_at for b in lists[0][1].backends] == [0.0, 1_700_000_000.5]
         assert lists[1][1].backends[0].readiness is Readiness.DRAINING
-        assert lists[0][1].addresses["s2"] == HERE
+        assert lists[0][1].addresses["s2"] == ADDRESS
 
     run(body())
 
 
 def test_a_watch_continues_from_the_configured_list_with_one_call() -> None:
     async def body() -> None:
-        agent = Agent(listing(9, False, entry(HERE, "s2")))
+        agent = Agent(listing(9, False, entry(ADDRESS, "s2")))
         lists = await watch(agent, 2, version=7)
-        assert agent.asked == [WATCH % 7, WATCH % 9]
+        assert agent.paths == [WATCH % 7, WATCH % 9]
         assert [kind for kind, _ in lists] == [EndpointListKind.UPDATE]
 
     run(body())
 
 
-def test_an_overloaded_agent_is_polled_for_changes_ever_more_rarely() -> None:
+def test_the_pause_between_polls_for_changes_grows_while_the_agent_is_overloaded() -> None:
     async def body() -> None:
         agent = Agent(
-            listing(41, True, entry(HERE)), OVERLOADED, OVERLOADED, OVERLOADED, listing(42, False)
+            listing(41, True, entry(ADDRESS)),
+            OVERLOADED,
+            OVERLOADED,
+            OVERLOADED,
+            listing(42, False),
         )
         lists = await watch(agent, 6)
-        assert agent.asked[1:] == [WATCH % 41] * 4 + [WATCH % 42]  # never the whole list anew
-        assert [found.version for _, found in lists] == [41]
-        least = [watch_backoff.FIRST_OVERLOAD_PAUSE_S / 2 * 2**n for n in range(3)]
+        assert agent.paths[1:] == [WATCH % 41] * 4 + [WATCH % 42]  # never the complete list again
+        assert [endpoints.version for _, endpoints in lists] == [41]
+        min_pauses = [watch_backoff.FIRST_OVERLOAD_PAUSE_S / 2 * 2**n for n in range(3)]
         assert all(
-            b - a >= wait for a, b, wait in zip(agent.at[1:], agent.at[2:], least, strict=False)
+            b - a >= wait
+            for a, b, wait in zip(agent.times[1:], agent.times[2:], min_pauses, strict=False)
         )
 
     run(body())
 
 
-def test_versions_that_start_anew_bring_the_complete_list() -> None:
+def test_restarted_versions_trigger_a_poll_of_the_complete_list() -> None:
     async def body() -> None:
         agent = Agent(
-            listing(41, True, entry(HERE)),
-            listing(3, False, entry(HERE, "s9")),
-            listing(3, True, entry(HERE, "s9")),
+            listing(41, True, entry(ADDRESS)),
+            listing(3, False, entry(ADDRESS, "s9")),
+            listing(3, True, entry(ADDRESS, "s9")),
         )
         lists = await watch(agent, 4)
-        assert agent.asked == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
-        assert [[b.id for b in found.backends] for _, found in lists] == [["s1"], ["s9"]]
+        assert agent.paths == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
+        assert [[b.id for b in endpoints.backends] for _, endpoints in lists] == [["s1"], ["s9"]]
 
     run(body())
 
@@ -143,18 +150,20 @@
 @pytest.mark.parametrize(
     "broken", [b"", b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}']
 )
-def test_after_a_failed_call_the_list_stands_and_the_agent_is_polled_again(broken: bytes) -> None:
+def test_after_a_failed_call_the_list_is_kept_and_the_agent_is_polled_again(broken: bytes) -> None:
     async def body() -> None:
         agent = Agent(
-            listing(41, True, entry(HERE)), broken, broken, listing(42, True, entry(HERE))
+            listing(41, True, entry(ADDRESS)), broken, broken, listing(42, True, entry(ADDRESS))
         )
         lists = await watch(agent, 5)
-        assert agent.asked[:2] == ["/api/targets", WATCH % 41]
-        assert agent.asked[-1] == WATCH % 42
-        # A list that makes no sense puts what is held in doubt; a call that had no answer does not.
-        assert ("/api/targets" in agent.asked[2:]) is (broken != b"")
-        assert [found.version for _, found in lists] == [41, 42]
-        assert agent.at[-1] - agent.at[0] >= watch_backoff.FAILURE_PAUSES_S[0] / 2  # gently
+        assert agent.paths[:2] == ["/api/targets", WATCH % 41]
+        assert agent.paths[-1] == WATCH % 42
+        # A malformed list casts doubt on the current one; a call without an answer does not.
+        assert ("/api/targets" in agent.paths[2:]) is (broken != b"")
+        assert [endpoints.version for _, endpoints in lists] == [41, 42]
+        assert (
+            agent.times[-1] - agent.times[0] >= watch_backoff.FAILURE_PAUSES_S[0] / 2
+        )  # after a pause
 
     run(body())
 
@@ -166,39 +175,43 @@
     monkeypatch.setattr(module, "POLL_ANSWER_GRACE_S", 0.05)
 
     async def body() -> None:
-        agent = Agent(None, listing(1, True, entry(HERE)), None, listing(2, True, entry(HERE)))
+        agent = Agent(
+            None, listing(1, True, entry(ADDRESS)), None, listing(2, True, entry(ADDRESS))
+        )
         lists = await watch(agent, 5)
-        assert [found.version for _, found in lists] == [1, 2]
+        assert [endpoints.version for _, endpoints in lists] == [1, 2]
 
     run(body())
 
 
-def test_a_silent_watch_is_noticed_within_two_seconds() -> None:
-    """What the agent tells on a new call is not waited for until a long watch is over."""
+def test_a_silent_watch_is_replaced_within_two_seconds() -> None:
+    """A new call receives the change; it must not wait for the end of a long silent watch."""
 
     async def body() -> None:
-        agent = Agent(listing(1, True, entry(HERE)), None, listing(2, True, entry(HERE, "s2")))
+        agent = Agent(
+            listing(1, True, entry(ADDRESS)), None, listing(2, True, entry(ADDRESS, "s2"))
+        )
         lists = await watch(agent, 4)
-        assert [found.version for _, found in lists] == [1, 2]
-        assert agent.asked[2] == WATCH % 1
+        assert [endpoints.version for _, endpoints in lists] == [1, 2]
+        assert agent.paths[2] == WATCH % 1
         assert agent.peer.connections == 2
         assert module.LONG_POLL_MS / 1000 + module.POLL_ANSWER_GRACE_S < 2.0
 
     run(body())
 
 
-def test_the_watch_outlives_an_error_of_its_callback() -> None:
+def test_the_watch_continues_after_an_error_in_its_callback() -> None:
     async def body() -> None:
-        agent = Agent(listing(1, True, entry(HERE)), listing(2, True, entry(HERE)))
+        agent = Agent(listing(1, True, entry(ADDRESS)), listing(2, True, entry(ADDRESS)))
 
-        def on_list(kind: EndpointListKind, found: EndpointList) -> None:
+        def on_list(kind: EndpointListKind, endpoints: EndpointList) -> None:
             raise RuntimeError("a fault")
 
         async with agent.peer:
             task = asyncio.create_task(
                 EndpointDiscovery(agent.peer.address, on_list, WatchBackoff(Random(1))).run()
             )
-            await until(lambda: len(agent.asked) >= 3)
+            await until(lambda: len(agent.paths) >= 3)
             assert not task.done()
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -224,29 +237,29 @@
 def test_a_malformed_entry_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    rows = [entry(HERE) | change, entry(HERE, "s2"), 5]
+    rows = [entry(ADDRESS) | change, entry(ADDRESS, "s2"), 5]
     with caplog.at_level(logging.WARNING):
-        found = read_endpoint_list({"version": 1, "full": True, "servers": rows})
-    assert [b.id for b in found.backends] == ["s2"]
+        endpoints = read_endpoint_list({"version": 1, "full": True, "servers": rows})
+    assert [b.id for b in endpoints.backends] == ["s2"]
     assert len(caplog.records) == 2
 
 
-TRUNCATED_CALL = 2  # of the calls that an agent of the next test gets, counted from 1
+TRUNCATED_CALL = 2  # number of the call that the agent of the next test truncates, counted from 1
 
 
 def truncating_agent(part: float, length: bool, end: str) -> tuple[Peer, list[str]]:
-    """Returns an agent that truncates its second answer, and the paths that it was asked for."""
-    complete = listing(3, True, entry(HERE, "s1"))
-    changes = listing(4, False, entry(HERE, "s2"))
-    asked: list[str] = []
+    """Returns an agent that truncates its second answer, and the paths of the calls to it."""
+    complete = listing(3, True, entry(ADDRESS, "s1"))
+    changes = listing(4, False, entry(ADDRESS, "s2"))
+    paths: list[str] = []
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
-            asked.append(head.split(b" ")[1].decode())
-            if len(asked) > TRUNCATED_CALL + 1:
-                continue  # nothing is newer
-            answer = complete if len(asked) == 1 else changes
-            truncated = len(asked) == TRUNCATED_CALL
+            paths.append(head.split(b" ")[1].decode())
+            if len(paths) > TRUNCATED_CALL + 1:
+                continue  # there are no newer changes
+            answer = complete if len(paths) == 1 else changes
+            truncated = len(paths) == TRUNCATED_CALL
             size = b"Content-Length: %d\r\n" % len(answer) if length or not truncated else b""
             written = answer[: int(len(answer) * part)] if truncated else answer
             writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n%b" % (size, written))
@@ -256,7 +269,7 @@
                     reset(writer)
                 return
 
-    return Peer(script), asked
+    return Peer(script), paths
 
 
 def reset(writer: Writer) -> None:
@@ -270,22 +283,22 @@
 @pytest.mark.parametrize("length", [True, False])
 @pytest.mark.parametrize("end", ["reset", "closed"])
 def test_a_truncated_answer_changes_nothing(part: float, length: bool, end: str) -> None:
-    """With no length only the end of the connection ends an answer, and a reset is no end."""
+    """Without a length, closing the connection completes an answer; a reset does not."""
 
     async def body() -> None:
         lists: list[tuple[EndpointListKind, EndpointList]] = []
-        agent, asked = truncating_agent(part, length, end)
+        agent, paths = truncating_agent(part, length, end)
         async with agent as peer:
             discovery = EndpointDiscovery(
                 peer.address,
-                lambda kind, found: lists.append((kind, found)),
+                lambda kind, endpoints: lists.append((kind, endpoints)),
                 WatchBackoff(Random(1)),
             )
             task = asyncio.create_task(discovery.run())
             await until(lambda: len(lists) == 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        assert [found.version for _, found in lists] == [3, 4]
-        assert [call.partition("&")[0] for call in asked[1:3]] == ["/api/targets?after=3"] * 2
+        assert [endpoints.version for _, endpoints in lists] == [3, 4]
+        assert [call.partition("&")[0] for call in paths[1:3]] == ["/api/targets?after=3"] * 2
 
     run(body())
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: checked whole when it is read; nothing of it is imported without it."""
+"""The operator's file: checked as a whole when read; without it no component is imported."""
 
 from __future__ import annotations
 
@@ -103,19 +103,19 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"name": "x"}), encoding="utf-8")
-    text = environment(path)
-    done = subprocess.run(
+    variables = environment(path)
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress", *arguments],
         cwd=ROOT,
-        env=text,
+        env=variables,
         capture_output=True,
         text=True,
         timeout=20,
         check=False,
     )
-    assert done.returncode == 2
-    assert words in done.stderr
-    assert done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert words in completed.stderr
+    assert completed.stderr.count("\n") == 1
 
 
 def environment(path: Path) -> dict[str, str]:
@@ -123,7 +123,7 @@
     return {"EDGE_CONFIG": str(path), "PATH": "/usr/bin:/bin"}
 
 
-def test_imports_nothing_of_it_without_the_file() -> None:
+def test_without_the_file_no_optional_module_is_imported() -> None:
     code = (
         "import sys, ingress.__main__, ingress.service; "
         "print([m for m in sys.modules if m.startswith(('ingress.protocol_versions', "
@@ -133,7 +133,7 @@
         "'ingress.handover', 'ingress.storage', 'ingress.membership', 'msgspec', 'tomllib', "
         "'argparse'))])"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert done.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The real program as a process: it starts, serves, and ends on SIGTERM with every answer given."""
+"""The real program as a process: it starts, serves, and answers all requests after SIGTERM."""
 
 from __future__ import annotations
 
@@ -91,15 +91,15 @@
             idle = await Caller.to(address)
             slow.writer.write(command("slow"))
             assert await idle.ask(command("before")) == b"before"
-            at = time.monotonic()
+            signalled_at = time.monotonic()
             process.send_signal(signal.SIGTERM)
-            # New connections and those that stand are served on for a while.
+            # New and existing connections are served temporarily.
             fresh = await Caller.to(address)
             assert await fresh.ask(command("fresh")) == b"fresh"
             assert await idle.ask(command("after")) == b"after"
             with pytest.raises((EOFError, ConnectionError)):
                 await idle.answer()
-            assert time.monotonic() - at >= 0.4
+            assert time.monotonic() - signalled_at >= 0.4
             with pytest.raises(ConnectionError):
                 await Caller.to(address)
             ended.set()
@@ -118,28 +118,28 @@
 
 
 def test_a_second_sigterm_and_a_reload_change_nothing_while_draining(tmp_path: Path) -> None:
-    """The request that is open has its one answer, and the program ends as asked."""
-    go = asyncio.Event()
-    asked = asyncio.Event()
+    """The open request receives exactly one answer, and the program exits with status 0."""
+    release = asyncio.Event()
+    request_received = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             words = await read_command(reader)
-            asked.set()
-            await go.wait()
+            request_received.set()
+            await release.wait()
             writer.write(value(words[2]))
 
     async def body() -> None:
         async with Peer(script) as peer, program(peer, tmp_path) as (process, address):
             caller = await Caller.to(address)
             caller.writer.write(command("slow"))
-            await asked.wait()
+            await request_received.wait()
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                 process.send_signal(number)
             with pytest.raises(ConnectionError):  # it has begun to drain
                 await connect_until_refused(address)
             process.send_signal(signal.SIGTERM)
-            go.set()
+            release.set()
             assert await caller.answer() == b"slow"
             with pytest.raises((EOFError, ConnectionError)):
                 await caller.answer()
@@ -163,53 +163,53 @@
 
 
 class NeverEmpty:
-    """An exchange and a listener whose last client stays; only sleeping moves the clock."""
+    """An exchange and a listener whose last client stays; only sleeping advances the clock."""
 
-    def __init__(self, late: float) -> None:
+    def __init__(self, wake_delay: float) -> None:
         self.now = 0.0
-        self.late = late
+        self.wake_delay = wake_delay
         self.calls: list[tuple[str, float]] = []
 
     async def sleep(self, seconds: float) -> None:
-        self.now += seconds + self.late
+        self.now += seconds + self.wake_delay
 
-    def note(self, what: str) -> None:
-        self.calls.append((what, self.now))
+    def record(self, call: str) -> None:
+        self.calls.append((call, self.now))
 
     def open(self) -> None: ...
 
     def drain(self) -> None:
-        self.note("drain")
+        self.record("drain")
 
     def empty(self) -> bool:
         return False
 
     def fail_open_requests(self) -> None:
-        self.note("give up")
+        self.record("fail open requests")
 
     def close(self) -> None:
-        self.note("close")
+        self.record("close")
 
 
 @pytest.mark.parametrize("deadline", [0.2, 1.0, 3.0, 60.0])
 def test_the_shutdown_ends_before_the_earliest_sigkill(deadline: float) -> None:
-    """On a clock of its own, with an event loop that wakes 20 ms late each time."""
+    """Uses a simulated clock and an event loop that wakes up 20 ms late each time."""
     request_class = RequestClass("read", latency_objective=deadline, deadline=deadline)
-    shutdown = NeverEmpty(late=0.02)
+    shutdown = NeverEmpty(wake_delay=0.02)
     asyncio.run(
         graceful_shutdown.drain(
             shutdown, [shutdown], [request_class], lambda: shutdown.now, shutdown.sleep
         )
     )
-    kill = min(deadline, graceful_shutdown.MAX_DEADLINE_S) + graceful_shutdown.KILL_MARGIN_S
-    assert [what for what, _ in shutdown.calls] == ["drain", "give up", "close"]
+    kill_at = min(deadline, graceful_shutdown.MAX_DEADLINE_S) + graceful_shutdown.KILL_MARGIN_S
+    assert [call for call, _ in shutdown.calls] == ["drain", "fail open requests", "close"]
     assert shutdown.calls[0][1] >= graceful_shutdown.ACCEPT_AFTER_SIGTERM_S
     assert (
-        kill - graceful_shutdown.FINAL_RESPONSE_LEAD_S
+        kill_at - graceful_shutdown.FINAL_RESPONSE_LEAD_S
         <= shutdown.calls[1][1]
-        <= kill - graceful_shutdown.FINAL_RESPONSE_LEAD_S + 0.05
+        <= kill_at - graceful_shutdown.FINAL_RESPONSE_LEAD_S + 0.05
     )
-    assert shutdown.now < kill
+    assert shutdown.now < kill_at
 
 
 def test_an_address_in_use_ends_the_program_with_status_1(tmp_path: Path) -> None:
@@ -242,11 +242,11 @@
         ("", 2, "EDGE_CONFIG: not set"),
     ],
 )
-def test_an_unknown_log_level_ends_the_program_with_its_name(
+def test_an_unknown_log_level_ends_the_program_with_an_error_that_names_it(
     level: str, status: int, words: str
 ) -> None:
     env = {name: text for name, text in os.environ.items() if name != "EDGE_CONFIG"}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress"],
         cwd=ROOT,
         env=env | {"INGRESS_LOG_LEVEL": level},
@@ -255,19 +255,19 @@
         timeout=30,
         check=False,
     )
-    assert done.returncode == status
-    assert words in done.stderr
+    assert completed.returncode == status
+    assert words in completed.stderr
 
 
-def test_full_collections_skip_what_was_imported() -> None:
-    """A full collection of it takes tens of milliseconds, in which nothing is answered."""
+def test_full_collections_skip_imported_objects() -> None:
+    """A full collection of them takes tens of milliseconds, in which no request is answered."""
     script = (
         "import gc, sys\nfrom ingress import service\nfrom ingress.compilation import Form\n"
         "async def serve(config, operator):\n"
         "    print(gc.get_freeze_count(), len(gc.get_objects()))\n"
         "service.serve, service.load = serve, lambda: None\nservice.main([], Form(False, 'a test'))"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", script],
         capture_output=True,
         text=True,
@@ -275,28 +275,28 @@
         timeout=60,
         cwd=Path(__file__).resolve().parent.parent,
     )
-    frozen, left = map(int, done.stdout.split())
+    frozen, unfrozen = map(int, completed.stdout.split())
     assert frozen > 20_000
-    assert left < frozen / 10
+    assert unfrozen < frozen / 10
 
 
 def test_listens_only_after_the_event_loop_has_settled() -> None:
-    """A machine takes connections and requests from the moment that the program listens."""
+    """Connections and requests may arrive from the moment that the program listens."""
     events: list[str] = []
 
-    class Started:
+    class FakeApplication:
         def __init__(self, config: Config, operator: object = None) -> None:
-            asyncio.get_running_loop().call_later(0.0, events.append, "what the start left to do")
+            asyncio.get_running_loop().call_later(0.0, events.append, "startup callback")
 
         async def run(self, stop: asyncio.Event) -> None:
             events.append("listens")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(service, "Application", Started)
+        patch.setattr(service, "Application", FakeApplication)
         before = [signal.getsignal(s) for s in (signal.SIGTERM, signal.SIGINT)]
         try:
             run(service.serve(cast(Config, None), None))
         finally:
             for number, handler in zip((signal.SIGTERM, signal.SIGINT), before, strict=True):
                 signal.signal(number, handler)
-    assert events == ["what the start left to do", "listens"]
+    assert events == ["startup callback", "listens"]
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: what it answers, and how it names malformed input."""
+"""The simulator's adapter: its replies, and its errors for malformed input."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
 ]
 
 
-def wire(*messages: object) -> str:
+def encode_lines(*messages: object) -> str:
     return "".join(json.dumps(m) + "\n" for m in messages)
 
 
-def day(env: object = ENV) -> str:
+def sample_input(env: object = ENV) -> str:
     start = [
         {"m": "BeginBatch", "ts-s": 1.0},
         {"m": "Start", "ingress": 3, "nonce64": 7, "env": env},
@@ -54,7 +54,7 @@
         {"m": "BackendsChanged", "ingress": 3, "kind": "restored", "epoch": 1, "set-id": 0},
         {"m": "Eob"},
     ]
-    ask = [
+    requests = [
         {"m": "BeginBatch", "ts-s": 1.5},
         *(
             {
@@ -74,17 +74,17 @@
         ),
         {"m": "Eob"},
     ]
-    return wire(*start, *ask)
+    return encode_lines(*start, *requests)
 
 
-def play(text: str) -> list[dict[str, object]]:
+def run_adapter(text: str) -> list[dict[str, object]]:
     out = io.StringIO()
     serve(io.StringIO(text), out)
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
 def test_the_adapter_answers_each_batch_and_skips_unknown_keys() -> None:
-    lines = play(day())
+    lines = run_adapter(sample_input())
     assert [m["m"] for m in lines].count("Finished") == 2
     assert {m["rid"] for m in lines if m["m"] in ("CallOut", "Decline")} == {
         f"r{n}" for n in range(30)
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "cause"),
     [
         ("{", "line 1"),
         ("[]", "object"),
@@ -107,16 +107,18 @@
         ('{"m":"BeginBatch","ts-s":1}\n', "inside a batch"),
     ],
 )
-def test_malformed_input_is_named(line: str, named: str) -> None:
-    with pytest.raises(MalformedInputError, match=named):
-        play(line)
+def test_malformed_input_is_rejected_with_its_cause(line: str, cause: str) -> None:
+    with pytest.raises(MalformedInputError, match=cause):
+        run_adapter(line)
 
 
-def test_impossible_settings_name_the_key() -> None:
+def test_invalid_settings_are_rejected_with_the_key() -> None:
     with pytest.raises(MalformedInputError, match="rate"):
-        play(day(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]}))
+        run_adapter(
+            sample_input(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]})
+        )
     with pytest.raises(MalformedInputError, match="classes"):
-        play(day(ENV | {"categories": []}))
+        run_adapter(sample_input(ENV | {"categories": []}))
 
 
 def test_a_failing_decision_becomes_a_fault_report(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -124,27 +126,29 @@
         raise RuntimeError("on purpose")
 
     monkeypatch.setattr("ingress.policy.gateway.Gateway.handle", broken)
-    faults = [m for m in play(day()) if m["m"] == "BailOut"]
+    faults = [m for m in run_adapter(sample_input()) if m["m"] == "BailOut"]
     assert faults
     assert "on purpose" in str(faults[0]["reason-text"])
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "77"])
-def test_the_same_events_give_the_same_actions_whatever_the_hash_seed(hash_seed: str) -> None:
-    done = subprocess.run(
+def test_the_same_events_give_the_same_actions_for_any_hash_seed(hash_seed: str) -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress.simulator_adapter"],
-        input=day(),
+        input=sample_input(),
         capture_output=True,
         text=True,
         cwd=ROOT,
         env=os.environ | {"PYTHONHASHSEED": hash_seed},
         check=True,
     )
-    assert [json.loads(line) for line in done.stdout.splitlines()] == play(day())
+    assert [json.loads(line) for line in completed.stdout.splitlines()] == run_adapter(
+        sample_input()
+    )
 
 
 def test_the_program_ends_with_a_message_on_malformed_input() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress.simulator_adapter"],
         input="nonsense\n",
         capture_output=True,
@@ -152,6 +156,6 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2
-    assert "line 1" in done.stderr
-    assert not done.stdout
+    assert completed.returncode == 2
+    assert "line 1" in completed.stderr
+    assert not completed.stdout
--- a/tests/test_watch_backoff.py
+++ b/tests/test_watch_backoff.py
@@ -1,4 +1,4 @@
-"""Timeouts and pauses of calls for the endpoint list, with a whole fleet at one service."""
+"""Timeouts and pauses of calls for the endpoint list, when a whole fleet calls one service."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from ingress.platform.watch_backoff import MAX_CALL_TIMEOUT_S, WatchBackoff
 
-SERVICE_TIMEOUT_S = 2.0  # s that a call waits its turn at the service
-SIZES = (3, 40, 100)
+SERVICE_TIMEOUT_S = 2.0  # longest wait of a call in the service's queue
+FLEET_SIZES = (3, 40, 100)
 
 
 class NoBackoff:
-    """No backoff: a timeout of one second, and a call each second."""
+    """No backoff: a timeout of one second, and one call each second."""
 
     def __init__(self, rng: Random) -> None:
         self.failures = 0
@@ -31,58 +31,58 @@
         return (0.05, 0.1, 0.2, 0.5, 1.0)[min(self.failures - 1, 4)]
 
 
-def play(
-    size: int, seed: int, make: Callable[[Random], WatchBackoff | NoBackoff]
+def simulate_fleet(
+    size: int, seed: int, create_backoff: Callable[[Random], WatchBackoff | NoBackoff]
 ) -> tuple[int, int, float]:
-    """Plays a fleet that starts at one moment, for 30 s.
+    """Simulates 30 s of a fleet whose instances all start at the same time.
 
-    The service bears one call of each in 3 s, works on those it has accepted though they were given
-    up, and rejects what would wait longer than its own timeout.
+    The service can answer one call of each instance within 3 s.  It completes accepted calls even
+    if they were abandoned, and rejects calls that would wait longer than its own timeout.
 
     Returns:
-        How many have the list, how many calls were worked on for nobody, and the most calls within
-        a second.
+        The number of instances that have the list, the number of abandoned calls that the service
+        worked on, and the maximum number of calls within a second.
     """
     rng = Random(seed)
-    backoffs = [make(Random(rng.random())) for _ in range(size)]
+    backoffs = [create_backoff(Random(rng.random())) for _ in range(size)]
     cost = 3.0 / size
     free_at = 0.0
     due: list[tuple[float, int]] = []
     for number in range(size):
         heappush(due, (rng.uniform(0.0, 0.05), number))
-    have: set[int] = set()
-    lost = 0
+    served: set[int] = set()
+    wasted = 0
     calls: list[float] = []
     while due and due[0][0] < 30.0:
         now, number = heappop(due)
         calls.append(now)
         backoff = backoffs[number]
-        begins = max(free_at, now)
-        if begins - now > SERVICE_TIMEOUT_S:
+        starts_at = max(free_at, now)
+        if starts_at - now > SERVICE_TIMEOUT_S:
             heappush(due, (now + SERVICE_TIMEOUT_S + backoff.record_failure(True), number))
             continue
-        free_at = begins + cost
+        free_at = starts_at + cost
         if free_at - now > backoff.call_timeout():
-            lost += 1
+            wasted += 1
             heappush(due, (now + backoff.call_timeout() + backoff.record_failure(False), number))
             continue
         backoff.record_success()
-        have.add(number)
-    return len(have), lost, max(sum(at <= other < at + 1.0 for other in calls) for at in calls)
+        served.add(number)
+    return len(served), wasted, max(sum(at <= other < at + 1.0 for other in calls) for at in calls)
 
 
-@pytest.mark.parametrize("size", SIZES)
-def test_a_fleet_that_starts_at_one_moment_gets_its_list_and_wastes_no_work(size: int) -> None:
+@pytest.mark.parametrize("size", FLEET_SIZES)
+def test_a_fleet_that_starts_at_once_receives_its_list_and_wastes_no_work(size: int) -> None:
     for seed in range(20):
-        have, lost, _ = play(size, seed, WatchBackoff)
-        assert have == size, seed
-        assert lost == 0, seed
+        served, wasted, _ = simulate_fleet(size, seed, WatchBackoff)
+        assert served == size, seed
+        assert wasted == 0, seed
 
 
-@pytest.mark.parametrize("size", SIZES[1:])
-def test_without_backoff_the_service_works_for_nobody(size: int) -> None:
-    """Seeded breach: what the test above fails on."""
-    assert all(play(size, seed, NoBackoff)[1] > 0 for seed in range(20))
+@pytest.mark.parametrize("size", FLEET_SIZES[1:])
+def test_without_backoff_the_service_works_on_abandoned_calls(size: int) -> None:
+    """Shows that the test above detects a missing backoff."""
+    assert all(simulate_fleet(size, seed, NoBackoff)[1] > 0 for seed in range(20))
 
 
 def test_an_agent_that_rejects_calls_is_treated_as_a_shared_service() -> None:
