--- a/ingress/application.py
+++ b/ingress/application.py
@@ -188,9 +188,9 @@
             await component.open()
         self.discovery.start(self.reloader.current.discovery)
         if not config.settings.discovery_polled:
-            # This instance is expected to know all that the agent does, from the start on: it must
-            # learn of a drain that began before this process did ahead of the first request.  A
-            # silent agent delays the start by one timeout.
+            # From its start the instance is expected to know all that the agent knows, so it must
+            # read a drain that began earlier before the first request.  A silent agent delays the
+            # start by one timeout.
             await self.discovery.first_call_ended.wait()
         for listener in self.listeners:
             listener.open()
--- a/ingress/platform/config.py
+++ b/ingress/platform/config.py
@@ -29,8 +29,8 @@
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 1024
 PROGRAM_MB = 26  # used before the first request, and by the policy's state of customers
-# Half of the remaining memory goes to buffers: a third each to requests, unread input and unread
-# responses.
+# Half of the memory beyond the program's goes to buffers: a third each to requests, unread input
+# and unread responses.
 BUFFER_MEMORY_DIVISOR = 6
 MIN_BUFFER_MB = 1.0
 DEFAULT_CONNECT_TIMEOUT_S = 0.25
@@ -193,7 +193,7 @@
 
 
 def _positive(source: Mapping[str, Any], table: str, key: str, default: float) -> float:
-    """Returns the number at `key`, or `default` without one; errors name `table` and `key`."""
+    """Returns the positive number at `key`, or `default`; errors name `table` and `key`."""
     value = source.get(key, default)
     if (
         isinstance(value, bool)
--- a/ingress/platform/key_file.py
+++ b/ingress/platform/key_file.py
@@ -12,7 +12,7 @@
 
 
 class KeyFileError(Exception):
-    """Invalid key file; the message names file, line and what is allowed, but never a key."""
+    """Invalid key file; the message names file, line and the allowed values, but never a key."""
 
 
 def read_key_file(path: Path) -> dict[int, bytes]:
--- a/ingress/platform/operator_config.py
+++ b/ingress/platform/operator_config.py
@@ -1,7 +1,7 @@
 """Reads the operator's file, named by `--operator`, which adds features to an installation.
 
 The whole file is checked when it is read.  Its keys are the operators' terms, which this module
-translates into the terms of the code.  Each error names file, key, value and what is allowed.
+translates into the terms of the code.  Each error names file, key, value and the allowed values.
 """
 
 from __future__ import annotations
--- a/tests/test_drain_propagation.py
+++ b/tests/test_drain_propagation.py
@@ -48,14 +48,14 @@
 
     def __init__(self, down: bool) -> None:
         self.down = down
-        self.calls: list[tuple[float, str]] = []
+        self.call_log: list[tuple[float, str]] = []
         self.peer = Peer(self.script)
         self.answer: bytes = listing(1, True)
 
     async def script(self, _: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
             path = head.split(b" ")[1].decode()
-            self.calls.append((time.monotonic(), path))
+            self.call_log.append((time.monotonic(), path))
             if self.down or path.endswith(f"wait_ms={module.LONG_POLL_MS}"):
                 await asyncio.Event().wait()
             writer.write(
@@ -93,12 +93,12 @@
                 40,
             )
             task = asyncio.create_task(watch.run())
-            await until(lambda: len(agent.calls) >= 4)  # no call waits for seconds
+            await until(lambda: len(agent.call_log) >= 4)  # no call waits for seconds
             agent.answer = listing(41, False, entry(ADDRESS, "s1", "draining"))
             agent.down = False
             returned_at = time.monotonic()
             await until(lambda: received)
-            calls = [at for at, _ in agent.calls if at >= returned_at]
+            calls = [at for at, _ in agent.call_log if at >= returned_at]
             assert len(calls) <= 2  # the first answered call, and the continued watch
             assert readiness_of(received[0][1], "s1") is Readiness.DRAINING
             task.cancel()
@@ -168,7 +168,7 @@
             task = asyncio.create_task(application.run(asyncio.Event()))
             await until(lambda: len(old.paths) == 2)
             application.reload(config(discovery="{}:{}".format(*new.peer.address)))
-            await until(lambda: new.calls)
+            await until(lambda: new.call_log)
             old.answers.append(listing(41, False, entry(ADDRESS, "s1", "draining")))
             await until(
                 lambda: old.peer.ended
