--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -75,11 +75,11 @@
 
 def test_sighup_applies_a_new_configuration_and_rejects_a_bad_one(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    listen = ("127.0.0.1", free_port())
+    listen_address = ("127.0.0.1", free_port())
 
     def text(agent: Agent) -> str:
         return config_text(
-            listen=f"127.0.0.1:{listen[1]}", discovery="{}:{}".format(*agent.peer.address)
+            listen=f"127.0.0.1:{listen_address[1]}", discovery="{}:{}".format(*agent.peer.address)
         )
 
     async def body() -> None:
@@ -87,8 +87,12 @@
             first = Agent(listing(40, True, entry(one.address)))
             # The new agent has versions of its own, and closes the first call that it receives.
             second = Agent(b"", listing(3, True, entry(two.address, "s2")))
-            async with first.peer, second.peer, program(path, text(first), listen) as process:
-                caller = await Caller.to(listen)
+            async with (
+                first.peer,
+                second.peer,
+                program(path, text(first), listen_address) as process,
+            ):
+                caller = await Caller.to(listen_address)
                 await until(lambda: len(first.paths) == 2)
                 assert await caller.ask(command()) == b"one"
                 for bad, key in (("{", "EDGE_CONFIG"), (config_text(seed="xyz"), "seed")):
@@ -121,7 +125,7 @@
 ) -> None:
     """Its agent lists other backends, which must not receive the requests of this service."""
     path = tmp_path / "config.json"
-    listen = ("127.0.0.1", free_port())
+    listen_address = ("127.0.0.1", free_port())
     renamed = [c | {"name": c["name"] + "-b"} for c in SETTINGS["categories"]]
     unsafe = [
         c | {"semantics": "unsafe"} if c["semantics"] == "keyed" else c
@@ -144,13 +148,17 @@
 
             def text(agent: Agent, **other: Any) -> str:
                 base = {
-                    "listen": f"127.0.0.1:{listen[1]}",
+                    "listen": f"127.0.0.1:{listen_address[1]}",
                     "discovery": "{}:{}".format(*agent.peer.address),
                 }
                 return config_text(**(base | other))
 
-            async with first.peer, second.peer, program(path, text(first), listen) as process:
-                caller = await Caller.to(listen)
+            async with (
+                first.peer,
+                second.peer,
+                program(path, text(first), listen_address) as process,
+            ):
+                caller = await Caller.to(listen_address)
                 for key, other in [
                     *changes.items(),
                     *(("settings", variant) for variant in other_settings),
