--- a/ingress/http/__init__.py
+++ b/ingress/http/__init__.py
@@ -1,5 +1,5 @@
-"""HTTP/1.1, towards clients and towards backends of http-v2.
+"""HTTP/1.1 codecs of http-v2, for client connections and backend connections.
 
-`frames` finds where a request ends; the two other modules hold the codecs of one connection each.
-What requests and responses mean stands in `protocol_versions.http_v2`.
+`frames` finds the end of a request; the two other modules each hold the codec of one connection.
+`protocol_versions.http_v2` defines the meaning of requests and responses.
 """
--- a/ingress/http/backend_protocol.py
+++ b/ingress/http/backend_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of a connection to a backend in http-v2: calls become requests, responses results.
+"""The codec of an http-v2 backend connection: encodes calls as requests, decodes responses.
 
 Source: RFC 9110 (semantics) and RFC 9112 (HTTP/1.1).
 """
@@ -21,36 +21,37 @@
 )
 
 MAX_FIELDS: Final = 64
-"""Of a response's head."""
+"""In a response's head."""
 MAX_FIELD_BYTES: Final = 8 * 1024
-"""Of a name and its value."""
+"""In a field, name and value together."""
 MAX_INTERIM_RESPONSES: Final = 8
-"""Responses of 1xx to one request."""
+"""1xx responses to one request."""
 MAX_BODY_BYTES: Final = 2 * 1024 * 1024
-"""JSON and base64 take more room than the value."""
+"""Larger than the value, which is base64 in JSON."""
 MIN_FINAL_STATUS: Final = 200
 STATUSES_WITHOUT_BODY: Final = (204, 304)
 
 
 class HttpBackendProtocol:
-    """One connection to a backend of http-v2, as `transport.backend_protocol` specifies it.
+    """One http-v2 backend connection; implements `transport.backend_protocol`.
 
     The parser calls the methods whose names begin with `on_`.
 
     Attributes:
         host: The Host field of requests.
         max_value_bytes: The longest value that the clients' protocol versions can express.
-        reasons: How often a response was no plain value, by reason.
-        client_request_id: Of the request in flight.
-        parser: Parses the responses to it.
-        fields: The head's fields in their order, names in lower case.
-        body: What was received of the body.
-        interim_responses: How many came before the final response.
+        reasons: Number of responses without a usable value, by reason.
+        client_request_id: The client's id of the request in flight.
+        parser: Parses the responses to the request in flight.
+        fields: The head's fields in order of arrival, with names in lower case.
+        body: The part of the body received so far.
+        interim_responses: Number of interim responses before the final response.
         has_head: Whether the head of the final response is complete.
         complete: Whether the final response is complete.
-        has_length: Whether its head says where it ends; else the connection's end does.
+        has_length: Whether the head determines the body's end; otherwise the body ends when the
+            connection is closed.
         status: The status of the final response.
-        has_excess: Whether a further response began behind the final one.
+        has_excess: Whether another response began after the final one.
         keep_alive: Whether the backend keeps the connection open.
     """
 
@@ -62,7 +63,7 @@
         self._reset()
 
     def _reset(self) -> None:
-        """Forgets the former response."""
+        """Clears the state of the previous response."""
         self.parser = httptools.HttpResponseParser(self)
         self.fields: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
@@ -74,29 +75,29 @@
         self.has_excess = False
         self.keep_alive = False
 
-    def encode_request(self, call: Call, left: float) -> bytes:
-        """Returns the call as a request; the backend is told to take at most `left` seconds.
+    def encode_request(self, call: Call, remaining_s: float) -> bytes:
+        """Returns the call as a request whose timeout is `remaining_s` seconds.
 
         Raises:
             ValueError: This protocol can't express the call.
         """
-        request = http_v2.encode_request(call, left, self.host)
+        request = http_v2.encode_request(call, remaining_s, self.host)
         self.client_request_id = call.client_request_id
         self._reset()
         return request
 
     def receive_data(self, data: bytes) -> AttemptResult | None:
-        """Takes received bytes; returns the result once the response is complete.
+        """Processes received bytes; returns the result once the response is complete.
 
         Raises:
-            MalformedResponseError: What was received is no response, or exceeds a limit.
+            MalformedResponseError: The bytes are not a valid response, or exceed a limit.
         """
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise MalformedResponseError("another protocol, which nobody asked for") from None
+            raise MalformedResponseError("unsolicited protocol upgrade") from None
         except httptools.HttpParserError as error:
-            # The parser wraps what the methods below raise.
+            # The parser wraps exceptions of the `on_` methods below.
             cause = error.__context__
             reason = cause if isinstance(cause, MalformedResponseError) else error
             raise MalformedResponseError(str(reason)) from None
@@ -105,20 +106,20 @@
         return self._decode_response() if self.complete else None
 
     def receive_eof(self) -> AttemptResult | None:
-        """Returns the result of a body without a length, which ends with the connection.
+        """Returns the result of a response whose body ends when the connection is closed.
 
-        That is RFC 9112, section 6.3; any other incomplete response has no result.
+        Returns None for any other incomplete response (RFC 9112, section 6.3).
         """
         if not self.has_head or self.complete or self.has_length:
             return None
         return self._decode_response()
 
     def on_message_begin(self) -> None:
-        """Takes the begin of a response."""
+        """Records whether this response follows the final one."""
         self.has_excess = self.complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a field of the head; of trailers none may pass for one (RFC 9110, section 6.5).
+        """Stores a field of the head; ignores trailers (RFC 9110, section 6.5).
 
         Raises:
             MalformedResponseError: The head exceeds a limit.
@@ -130,7 +131,7 @@
         self.fields.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Takes the end of a head, of which the final response's counts."""
+        """Stores the final response's status and framing; ignores the heads of other responses."""
         status = self.parser.get_status_code()
         if status < MIN_FINAL_STATUS or self.has_head:
             return
@@ -144,7 +145,7 @@
         )
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body; one of a further response is dropped.
+        """Appends a part of the body; drops the body of a response after the final one.
 
         Raises:
             MalformedResponseError: The body exceeds the limit.
@@ -156,15 +157,15 @@
             raise MalformedResponseError("a body too large")
 
     def on_message_complete(self) -> None:
-        """Takes the end of a response; a final one follows an interim one.
+        """Completes the final response, or clears the head of an interim one.
 
         Raises:
-            MalformedResponseError: There were too many interim responses.
+            MalformedResponseError: There are too many interim responses.
         """
         if not self.has_head:
             self.interim_responses += 1
             if self.interim_responses > MAX_INTERIM_RESPONSES:
-                raise MalformedResponseError("interim responses without end")
+                raise MalformedResponseError("too many interim responses")
             self.fields.clear()
         elif not self.complete:
             self.complete = True
@@ -174,7 +175,8 @@
         """Returns the result of the final response.
 
         Raises:
-            MalformedResponseError: It says that the request was served and has no value of it.
+            MalformedResponseError: The status means success, but the body holds no value for this
+                request.
         """
         content_type = dict(self.fields).get(b"content-type", b"")
         media_type = content_type.partition(b";")[0].strip().lower()
@@ -182,7 +184,7 @@
         is_problem = media_type == b"application/problem+json"
         problem_type = http_v2.problem_type(body) if is_problem else ""
         meaning = http_v2.status_meaning(self.status, problem_type)
-        # Bytes after the response would pass for the response to the next request.
+        # Bytes after the response would be taken for the response to the next request.
         reusable = self.complete and not self.has_excess and self.keep_alive
         if meaning.outcome is not Outcome.OK:
             self.reasons[meaning.reason] += 1
@@ -200,5 +202,5 @@
 def make_backend_protocol(
     host: str, max_value_bytes: int, reasons: Counter[str]
 ) -> BackendProtocolFactory:
-    """Returns what makes the codec of one new connection."""
+    """Returns a factory that creates the codec of a new connection."""
     return partial(HttpBackendProtocol, host, max_value_bytes, reasons)
--- a/ingress/http/client_protocol.py
+++ b/ingress/http/client_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of a client's connection in http-v2: requests become calls, and results responses."""
+"""The codec of an http-v2 client connection: decodes requests to calls, encodes responses."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class RequestMessage:
-    """Collects what the parser finds in one complete request; the parser calls it.
+    """Collects the parts of one complete request; the parser calls its `on_` methods.
 
     Attributes:
         target: The request target.
         body: The body without its transfer coding.
-        complete: Whether the end of the request was found.
+        complete: Whether the parser found the end of the request.
     """
 
     def __init__(self) -> None:
@@ -40,26 +40,26 @@
         self.complete = False
 
     def on_url(self, part: bytes) -> None:
-        """Takes a part of the request target."""
+        """Appends a part of the request target."""
         self.target += part
 
     def on_body(self, part: bytes) -> None:
-        """Takes a part of the body."""
+        """Appends a part of the body."""
         self.body += part
 
     def on_message_complete(self) -> None:
-        """Takes the end of the request."""
+        """Marks the request as complete."""
         self.complete = True
 
 
 class HttpClientProtocol:
-    """One connection of a client that speaks http-v2, as `transport.client_protocol` specifies it.
+    """One http-v2 client connection; implements `transport.client_protocol`.
 
     Attributes:
         close_requested: Whether the client asked to close the connection after the last request.
         limits: Checks the fields of calls.
         continue_awaited: Whether the client waits for 100 (Continue).
-        continue_sent: Whether it got that for the request that is still incomplete.
+        continue_sent: Whether 100 (Continue) was sent for the request that is still incomplete.
     """
 
     __slots__ = ("close_requested", "continue_awaited", "continue_sent", "limits")
@@ -71,10 +71,10 @@
         self.continue_sent = False
 
     def find_frame_end(self, data: bytes, at: int) -> int:
-        """Returns where the request that starts at `at` ends, or -1 if more bytes are needed.
+        """Returns the end offset of the request that starts at `at`, or -1 if it is incomplete.
 
         Raises:
-            MalformedFrameError: What starts there is no request, or one beyond the limits.
+            MalformedFrameError: The bytes at `at` are not a valid request, or exceed a limit.
         """
         end = find_request_end(data, at)
         if end < 0:
@@ -82,7 +82,7 @@
         return end
 
     def interim_response(self) -> bytes:
-        """Returns 100 (Continue), once for each request (RFC 9110, section 10.1.1)."""
+        """Returns 100 (Continue) once per request that expects it (RFC 9110, section 10.1.1)."""
         if not self.continue_awaited:
             return b""
         self.continue_awaited = False
@@ -94,7 +94,7 @@
 
         Raises:
             InvalidCallError: The request is invalid; the next one can still be decoded.
-            MalformedFrameError: Nothing that follows can be decoded.
+            MalformedFrameError: The framing is invalid; no further request can be decoded.
         """
         self.continue_awaited = False
         self.continue_sent = False
@@ -117,11 +117,11 @@
         return http_v2.decode_request(self.limits, method, message.target, fields, message.body)
 
     def encode_response(self, call: Call | None, response: Response) -> bytes:
-        """Returns the final response to a call that this codec decoded."""
+        """Returns the encoded final response to a call that this codec decoded."""
         return http_v2.encode_response(call, response)
 
     def encode_error(self, reason: str, fatal: bool = False) -> bytes:
-        """Returns a response of 400 (Bad Request) with problem details (RFC 9457)."""
+        """Returns a 400 (Bad Request) response with problem details (RFC 9457)."""
         problem = {
             "type": http_v2.PROBLEM_TYPE_PREFIX + "malformed",
             "title": "Not understood; nothing ran",
@@ -133,5 +133,5 @@
 
 
 def make_client_protocol(settings: Settings) -> Callable[[], HttpClientProtocol]:
-    """Returns what makes the codec of one new connection."""
+    """Returns a factory that creates the codec of a new connection."""
     return partial(HttpClientProtocol, CallLimits(settings))
--- a/ingress/http/frames.py
+++ b/ingress/http/frames.py
@@ -1,7 +1,7 @@
-"""Finds where a request of HTTP/1.1 ends in received bytes, before anything is decoded.
+"""Finds the end of an HTTP/1.1 request in received bytes, before the request is decoded.
 
-A request whose length could be read in two ways is rejected: a peer that reads it the other way
-would take a part of it for a request of its own (request smuggling, RFC 9112, section 11.2).
+Requests with an ambiguous length are rejected: a peer that derives another length would parse a
+part of the request as a separate request (request smuggling, RFC 9112, section 11.2).
 
 Source: RFC 9112 (HTTP/1.1), sections 2.2, 5, 6 and 7.1.
 """
@@ -14,16 +14,16 @@
 from ingress.transport.client_protocol import MalformedFrameError
 
 MAX_HEAD_BYTES: Final = 16 * 1024
-"""Of a request line and its fields."""
+"""The request line and the fields."""
 MAX_FIELDS: Final = 64
 MAX_BODY_BYTES: Final = 256 * 1024
-"""Of a body, with its chunks' heads."""
+"""Includes the chunk heads of a chunked body."""
 MAX_CHUNKS: Final = 4096
 MAX_CHUNK_HEAD_BYTES: Final = 64
-"""Of a chunk's size and extensions."""
+"""A chunk's size and extensions."""
 MAX_TRAILER_BYTES: Final = 4 * 1024
 MAX_EMPTY_LINES: Final = 2
-"""Before a request line."""
+"""Before the request line."""
 CRLF: Final = b"\r\n"
 HEAD_END: Final = b"\r\n\r\n"
 CONTENT_LENGTH: Final = re.compile(rb"[0-9]{1,9}")
@@ -40,16 +40,19 @@
         b"content-type",
     )
 )
-"""Fields that decide about framing or meaning, as do all that begin with `SINGLE_FIELD_PREFIX`."""
+"""Fields that may occur only once because they determine framing or meaning.
+
+The same holds for all fields that begin with `SINGLE_FIELD_PREFIX`.
+"""
 SINGLE_FIELD_PREFIX: Final = b"grid-"
 
 
 def parse_fields(head: bytes) -> dict[bytes, bytes]:
-    """Returns the fields of a head by their names in lower case; its first line is skipped.
+    """Returns the fields of a head by lower-case name; skips the first line.
 
     Raises:
-        MalformedFrameError: There are too many, one is malformed, or one stands twice that peers
-            have to agree on.
+        MalformedFrameError: There are too many fields, a field is malformed, or a field of
+            `SINGLE_FIELDS` or with `SINGLE_FIELD_PREFIX` is repeated.
     """
     fields: dict[bytes, bytes] = {}
     lines = head.split(CRLF)[1:]
@@ -73,7 +76,7 @@
 
 
 def find_head_end(data: bytes, start: int) -> int:
-    """Returns where the head ends, before its empty line, or -1 if more bytes are needed.
+    """Returns the end offset of the head, before its empty line, or -1 if it is incomplete.
 
     Raises:
         MalformedFrameError: The head exceeds the limit.
@@ -85,10 +88,11 @@
 
 
 def skip_empty_lines(data: bytes, start: int) -> int:
-    """Returns where the request line begins, after a few empty lines (RFC 9112, section 2.2).
+    """Returns the offset of the request line, after optional empty lines (RFC 9112, section 2.2).
 
     Raises:
-        MalformedFrameError: There are too many; a peer could send nothing else for ever.
+        MalformedFrameError: There are more than `MAX_EMPTY_LINES`; otherwise a peer could send
+            empty lines forever.
     """
     at = start
     for _ in range(MAX_EMPTY_LINES):
@@ -101,11 +105,11 @@
 
 
 def find_request_end(data: bytes, start: int) -> int:
-    """Returns where the request at `start` ends, or -1 if more bytes are needed.
+    """Returns the end offset of the request at `start`, or -1 if it is incomplete.
 
     Raises:
-        MalformedFrameError: What starts there is no request, one beyond the limits, or one whose
-            length could be read in two ways (RFC 9112, section 6.3).
+        MalformedFrameError: The bytes at `start` are not a valid request, exceed a limit, or have
+            an ambiguous length (RFC 9112, section 6.3).
     """
     head_start = skip_empty_lines(data, start)
     head_end = find_head_end(data, head_start)
@@ -129,7 +133,7 @@
 
 
 def awaits_continue(data: bytes, start: int) -> bool:
-    """Returns whether the head is complete and asks for 100 (Continue) before the body is sent.
+    """Returns whether the head is complete and requests 100 (Continue) before the body.
 
     Raises:
         MalformedFrameError: The head is malformed.
@@ -143,17 +147,19 @@
 
 
 def _check_line_ends(data: bytes) -> None:
-    """Checks that each line of an incomplete head or of incomplete trailers ends in CRLF.
+    """Checks that each line of an incomplete head or incomplete trailers ends in CRLF.
 
     Raises:
-        MalformedFrameError: One ends in a bare line feed, so that the end would never be found.
+        MalformedFrameError: A line ends in a bare line feed, so the end would never be found.
     """
     if b"\n" in data.replace(CRLF, b""):
         raise MalformedFrameError("a line that ends in a bare line feed")
 
 
 def _find_chunked_body_end(data: bytes, body_start: int) -> int:
-    """Returns where a chunked body ends with its trailers (RFC 9112, section 7.1), or -1.
+    """Returns the end offset of a chunked body and its trailers, or -1 if it is incomplete.
+
+    Source: RFC 9112, section 7.1.
 
     Raises:
         MalformedFrameError: A chunk or a trailer is malformed, or the body exceeds a limit.
@@ -183,10 +189,12 @@
 
 
 def _find_trailers_end(data: bytes, start: int) -> int:
-    """Returns where the trailers at `start` end, or -1; none is used (RFC 9110, section 6.5.1).
+    """Returns the end offset of the trailers at `start`, or -1 if they are incomplete.
+
+    Trailers are validated and ignored (RFC 9110, section 6.5.1).
 
     Raises:
-        MalformedFrameError: A trailer is malformed, or they exceed the limit.
+        MalformedFrameError: A trailer is malformed, or the trailers exceed the limit.
     """
     if data.startswith(CRLF, start):
         return start + len(CRLF)
@@ -196,6 +204,6 @@
             raise MalformedFrameError("trailers too large")
         _check_line_ends(data[start:])
         return -1
-    # What is parsed is dropped, but what is no field is no trailer.
+    # Rejects malformed trailers; the parsed fields are discarded.
     parse_fields(CRLF + data[start:end])
     return end + len(HEAD_END)
--- a/ingress/resp/backend_protocol.py
+++ b/ingress/resp/backend_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of a connection to a backend in RESP2: calls become commands, and replies results."""
+"""The codec of a RESP2 backend connection: encodes calls as commands, decodes replies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ingress.wire_settings import LOAD_FIELDS
 
 MAX_VALUE_BYTES: Final = 1024 * 1024
-"""Some values are far longer than what a command may write."""
+"""Some values are far longer than the longest body of a command."""
 MAX_REPLY_BYTES: Final = MAX_VALUE_BYTES + 8 * 1024
 """A value, its figures and a load report."""
 REPLY_ITEMS: Final = 3
@@ -30,10 +30,10 @@
 
 
 class RespBackendProtocol:
-    """One connection to a backend that speaks RESP2, as `transport.backend_protocol` specifies it.
+    """One RESP2 backend connection; implements `transport.backend_protocol`.
 
     Attributes:
-        buffer: What was received of a reply that is not complete.
+        buffer: Received bytes of an incomplete reply.
     """
 
     __slots__ = ("buffer",)
@@ -41,20 +41,20 @@
     def __init__(self) -> None:
         self.buffer = b""
 
-    def encode_request(self, call: Call, left: float) -> bytes:
-        """Returns the call as a command; the backend is told to take at most `left` seconds.
+    def encode_request(self, call: Call, remaining_s: float) -> bytes:
+        """Returns the call as a command whose timeout is `remaining_s` seconds.
 
         Raises:
             ValueError: This protocol can't express the call.
         """
         self.buffer = b""
-        return encode_command(call, left)
+        return encode_command(call, remaining_s)
 
     def receive_data(self, data: bytes) -> AttemptResult | None:
-        """Takes received bytes; returns the result once the reply is complete.
+        """Processes received bytes; returns the result once the reply is complete.
 
         Raises:
-            MalformedResponseError: What was received is no reply.
+            MalformedResponseError: The bytes are not a valid reply, or exceed a limit.
         """
         received = self.buffer + data if self.buffer else data
         self.buffer = received
@@ -66,24 +66,24 @@
             result = self._decode_reply(received[:end], items)
         except MalformedFrameError as error:
             raise MalformedResponseError(str(error)) from None
-        # Bytes after the reply would pass for the next one.
+        # Bytes after the reply would be taken for the next reply.
         result.reusable = end == len(received)
         self.buffer = b""
         return result
 
     def receive_eof(self) -> AttemptResult | None:
-        """Returns None: the end of a connection completes no reply."""
+        """Returns None: no reply is completed by the end of the connection."""
         return None
 
     def _decode_reply(self, frame: bytes, items: list[bytes | None]) -> AttemptResult:
-        """Returns the result of a complete reply, an array with its items or an error line.
+        """Returns the result of a complete reply: an array with its items, or an error line.
 
         Raises:
-            MalformedFrameError: It is neither a value, nor an error that this protocol has.
+            MalformedFrameError: The reply is neither a value nor an error of this protocol.
         """
         if frame[:1] == b"*":
             if len(items) != REPLY_ITEMS or items[0] is None:
-                raise MalformedFrameError("not a value, figures and a report")
+                raise MalformedFrameError("reply is not an array of value, figures and load report")
             return AttemptResult(Outcome.OK, items[0], decode_load_report(items[2]))
         code, _, text = frame[1:-2].partition(b" ")
         if code == b"BUSY":
@@ -94,12 +94,12 @@
 
 
 def find_reply_end(data: bytes, items: list[bytes | None]) -> int:
-    """Returns where a reply ends, or -1 if more bytes are needed.
+    """Returns the end offset of a reply, or -1 if it is incomplete.
 
-    A reply is an array of three, whose items are appended to `items`, or an error line.
+    A reply is an error line or an array of three items, which are appended to `items`.
 
     Raises:
-        MalformedFrameError: What was received is neither, or exceeds a limit.
+        MalformedFrameError: The bytes are neither, or exceed a limit.
     """
     if data[:1] != b"-":
         return find_array_end(data, 0, REPLY_LIMITS, items)
@@ -110,7 +110,7 @@
 
 
 def decode_load_report(text: bytes | None) -> Mapping[str, float]:
-    """Returns a backend's load report by field; entries that are no figures are left out."""
+    """Returns a backend's load report by field, without unknown fields and invalid numbers."""
     if not text:
         return NO_LOAD_REPORT
     load: dict[str, float] = {}
--- a/ingress/resp/client_protocol.py
+++ b/ingress/resp/client_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of a client's connection in RESP2: commands become calls, and responses replies."""
+"""The codec of a RESP2 client connection: decodes commands to calls, encodes replies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 MAX_COMMAND_BYTES: Final = 256 * 1024
 MAX_COMMAND_WORDS: Final = 8
-"""No known command has more than 5."""
+"""The longest known command has 5."""
 COMMAND_LIMITS: Final = ArrayLimits(
     max_items=MAX_COMMAND_WORDS,
     max_item_bytes=MAX_BODY_BYTES,
@@ -30,12 +30,12 @@
 
 
 class RespClientProtocol:
-    """One connection of a client that speaks RESP2, as `transport.client_protocol` specifies it.
+    """One RESP2 client connection; implements `transport.client_protocol`.
 
     Attributes:
-        close_requested: Always False; no command asks for it.
+        close_requested: Always False; no command closes the connection.
         commands: Decodes API.READ and API.WRITE.
-        words: The words of the command whose end was found last.
+        words: The words of the command that `find_frame_end` found last.
     """
 
     __slots__ = ("close_requested", "commands", "words")
@@ -46,24 +46,24 @@
         self.words: list[bytes] = []
 
     def find_frame_end(self, data: bytes, at: int) -> int:
-        """Returns where the command that starts at `at` ends, or -1 if more bytes are needed.
+        """Returns the end offset of the command that starts at `at`, or -1 if it is incomplete.
 
         Raises:
-            MalformedFrameError: What starts there is no command, or one beyond the limits.
+            MalformedFrameError: The bytes at `at` are not a valid command, or exceed a limit.
         """
         words: list[bytes | None] = []
-        self.words = cast("list[bytes]", words)  # the limits of a command allow no null
+        self.words = cast("list[bytes]", words)  # COMMAND_LIMITS rejects nulls
         return find_array_end(data, at, COMMAND_LIMITS, words)
 
     def interim_response(self) -> bytes:
-        """Returns nothing: no client waits for a response before it sent its whole command."""
+        """Returns b"": RESP has no interim responses."""
         return b""
 
     def decode_request(self, frame: bytes) -> Call | bytes:
         """Decodes the command whose end `find_frame_end` returned last.
 
         Returns:
-            A call, or the reply to a command that needs no backend.
+            A call, or the encoded reply to a command that needs no backend.
 
         Raises:
             InvalidCallError: The command is unknown or invalid.
@@ -82,7 +82,7 @@
         raise InvalidCallError("unknown command")
 
     def encode_response(self, call: Call | None, response: Response) -> bytes:
-        """Returns the reply to a call; a rejection has its Retry-After in milliseconds."""
+        """Returns the encoded reply to a call; a rejection states Retry-After in milliseconds."""
         if response.kind is ResponseKind.SERVED:
             return encode_bulk_string(response.value)
         if response.kind is ResponseKind.FAILED:
@@ -91,12 +91,12 @@
         return b"-BUSY %d\r\n" % ceil(retry_after * MS_PER_S) if retry_after > 0 else BUSY
 
     def encode_error(self, reason: str, fatal: bool = False) -> bytes:
-        """Returns an error reply that names what is wrong with a command."""
+        """Returns an error reply with the reason as its text."""
         text = reason.encode("ascii", "replace")
-        # A line break would end the reply early, and the rest would pass for the next one.
+        # A line break would end the reply early; the rest would be taken for the next reply.
         return b"-ERR %b\r\n" % text.replace(b"\r", b" ").replace(b"\n", b" ")
 
 
 def make_client_protocol(settings: Settings) -> Callable[[], RespClientProtocol]:
-    """Returns what makes the codec of one new connection."""
+    """Returns a factory that creates the codec of a new connection."""
     return partial(RespClientProtocol, CommandDecoder(settings))
--- a/ingress/resp/command_decoder.py
+++ b/ingress/resp/command_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the words of API.READ and API.WRITE into calls."""
+"""Decodes API.READ and API.WRITE commands into calls."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 @dataclass(init=False, slots=True)
 class Command(Call):
-    """A valid call, with the words of the command that it came as.
+    """A valid call and the words of its original command.
 
     Attributes:
-        words: Verb, customer, request id, fields and, with a body, the body.
+        words: Verb, customer, request id, fields and, if present, the body.
     """
 
     words: list[bytes]
@@ -72,22 +72,22 @@
         self.words = words
 
     def size(self) -> int:
-        """Returns the bytes that the call holds beside a fixed cost."""
+        """Returns the call's variable size in bytes; its fixed overhead is not included."""
         return sum(map(len, self.words))
 
 
 class CommandDecoder:
-    """Decodes API.READ and API.WRITE with the classes and plans of the settings."""
+    """Decodes API.READ and API.WRITE and checks them against the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self.limits = CallLimits(settings)
 
     def decode(self, verb: bytes, words: list[bytes]) -> Command:
-        """Returns the call of a command.
+        """Returns the call that a command encodes.
 
         Args:
             verb: The first word in upper case, `READ_VERB` or `WRITE_VERB`.
-            words: All words, as they came.
+            words: All words as received.
 
         Raises:
             InvalidCallError: A word or a field is missing or not allowed.
--- a/ingress/resp/command_encoder.py
+++ b/ingress/resp/command_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes calls as API.READ and API.WRITE for backends of RESP2 and RESP3."""
+"""Encodes calls as API.READ and API.WRITE commands for RESP2 and RESP3 backends."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def encode_command(call: Call, left: float) -> bytes:
+def encode_command(call: Call, remaining_s: float) -> bytes:
     """Returns a call as a command for a backend.
 
-    A call that came as a command goes on as it came, but for its timeout; any other is encoded from
-    its fields.
+    A call received as a command is forwarded unchanged except for its timeout; any other call is
+    encoded from its fields.
 
     Args:
         call: The call.
-        left: Seconds that the backend is told to take at most.
+        remaining_s: The timeout that the command states, in seconds.
 
     Raises:
-        ValueError: The idempotency key is not one of this protocol.
+        ValueError: The idempotency key is not 16 hexadecimal digits.
     """
-    timeout_field = b"d=%d" % max(1, int(left * MS_PER_S))
+    timeout_field = b"d=%d" % max(1, int(remaining_s * MS_PER_S))
     if isinstance(call, Command):
         return _replace_timeout(call.words, timeout_field)
     verb = WRITE_VERB if call.is_write else READ_VERB
     fields = b"c=%b,t=%b,%b" % (call.request_class.encode(), call.plan.encode(), timeout_field)
     if call.idempotency_key:
-        # Anything else could contain a comma, and so add fields of its own.
+        # Any other key could contain a comma and so inject fields.
         if not IDEMPOTENCY_KEY.fullmatch(call.idempotency_key):
-            raise ValueError("a key that is no key here")
+            raise ValueError("idempotency key is not 16 hex digits")
         fields += b",k=" + call.idempotency_key.encode()
     fields += b",units=%b,spread=%d,first=%d" % (
         f"{call.units:g}".encode(),
@@ -51,7 +51,7 @@
 
 
 def _replace_timeout(words: list[bytes], timeout_field: bytes) -> bytes:
-    """Returns a client's command with another timeout; a valid command has exactly one."""
+    """Returns a client's command with its timeout replaced; a valid command has exactly one."""
     fields = words[3]
     start = 0 if fields.startswith(b"d=") else fields.find(b",d=") + 1
     end = fields.find(b",", start)
@@ -59,7 +59,7 @@
     verb = words[0]
     customer = words[1]
     request_id = words[2]
-    # One format instead of a call for each word: this runs for each attempt.
+    # Hot path, run for each attempt: one format operation instead of one call per word.
     head = b"*%d\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
         len(words),
         len(verb),
--- a/ingress/resp/frames.py
+++ b/ingress/resp/frames.py
@@ -1,7 +1,7 @@
-"""Finds where an array of RESP2 ends in received bytes, before anything is decoded.
+"""Finds the end of a RESP2 array in received bytes, before the array is decoded.
 
-A count or a length is checked as soon as its header is complete, and nothing is allocated for items
-that a peer only announced.
+Counts and lengths are checked as soon as their header is complete, and no memory is allocated for
+items that a peer has announced but not sent.
 
 Source: RESP protocol specification, sections "Bulk strings" and "Arrays".
 """
@@ -13,7 +13,7 @@
 from ingress.transport.client_protocol import MalformedFrameError
 
 MAX_HEADER_BYTES: Final = 16
-"""Of a line that holds a count or a length, with its CRLF."""
+"""A line with a count or a length, including its CRLF."""
 ARRAY_MARK: Final = ord("*")
 BULK_STRING_MARK: Final = ord("$")
 CRLF: Final = b"\r\n"
@@ -21,12 +21,12 @@
 
 
 class ArrayLimits:
-    """What an array may hold.
+    """Limits of an array of bulk strings.
 
     Attributes:
-        max_items: How many bulk strings.
-        max_item_bytes: How long one of them may be.
-        max_array_bytes: How long the whole array may be, but for its last CRLF.
+        max_items: Maximum number of bulk strings.
+        max_item_bytes: Maximum length of a bulk string.
+        max_array_bytes: Maximum length of the whole array without its last CRLF.
         allow_null: Whether an item may be the null bulk string.
     """
 
@@ -42,15 +42,16 @@
 
 
 def find_array_end(data: bytes, start: int, limits: ArrayLimits, items: list[bytes | None]) -> int:
-    """Returns where the array of bulk strings at `start` ends, or -1 if more bytes are needed.
+    """Returns the end offset of the array of bulk strings at `start`, or -1 if it is incomplete.
 
-    The items are appended to `items`, None for a null; they count only if the end is returned.
+    Appends the items to `items`, with None for a null; `items` is valid only if the end is found.
 
     Raises:
-        MalformedFrameError: What starts there is no such array, or one beyond the limits.
+        MalformedFrameError: The bytes at `start` are not an array of bulk strings, or exceed a
+            limit.
     """
     header_end = data.find(CRLF, start, start + MAX_HEADER_BYTES)
-    # No slice may end before it begins: in compiled code that is an error, not an empty slice.
+    # Compiled code raises an error for a slice that ends before it starts.
     digits = data[start + 1 : header_end] if header_end > start else b""
     if header_end < 0 or data[start] != ARRAY_MARK or not digits.isdigit():
         _check_partial_header(data, start, ARRAY_MARK)
@@ -84,10 +85,10 @@
 
 
 def _check_partial_header(data: bytes, at: int, mark: int) -> None:
-    """Checks that what starts at `at` may still become a header with the type byte `mark`.
+    """Checks that the bytes at `at` are a prefix of a header with the type byte `mark`.
 
     Raises:
-        MalformedFrameError: No further bytes make it one.
+        MalformedFrameError: No further bytes can complete such a header.
     """
     line, _, rest = data[at : at + MAX_HEADER_BYTES].partition(b"\r")
     if line and line[0] != mark:
@@ -102,10 +103,10 @@
 
 
 def _check_partial_terminator(data: bytes, at: int) -> None:
-    """Checks that what starts at `at` may still become the CRLF that ends a bulk string.
+    """Checks that the bytes at `at` are a prefix of the CRLF that ends a bulk string.
 
     Raises:
-        MalformedFrameError: The string's length does not fit what came.
+        MalformedFrameError: The string's length does not match the received bytes.
     """
     if not CRLF.startswith(data[at : at + 2]):
         raise MalformedFrameError("broken frame: a length that does not fit")
--- a/ingress/resp/resp3_backend_protocol.py
+++ b/ingress/resp/resp3_backend_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of a connection to a backend in RESP3: calls become commands, and replies results.
+"""The codec of a RESP3 backend connection: encodes calls as commands, decodes replies.
 
 Source: RESP3 specification, sections "The HELLO command and connection handshake" and "Push type".
 """
@@ -30,21 +30,21 @@
 from ingress.wire_settings import LOAD_FIELDS
 
 MAX_PUSH_FRAMES: Final = 64
-"""Between two replies."""
+"""Maximum between two replies."""
 HELLO: Final = b"*2\r\n$5\r\nHELLO\r\n$1\r\n3\r\n"
 
 
 class Resp3BackendProtocol:
-    """One connection to a backend that speaks RESP3, as `transport.backend_protocol` specifies it.
+    """One RESP3 backend connection; implements `transport.backend_protocol`.
 
     Attributes:
         max_value_bytes: The longest value that the clients' protocol versions can express.
-        reasons: How often a reply was no plain value, by reason, and how many push frames came.
+        reasons: Number of replies without a usable value, by reason, and of push frames.
         reader: Decodes complete frames.
-        buffer: What was received and not decoded yet.
-        hello_sent: Whether this connection sent HELLO 3.
-        hello_pending: Whether the reply to HELLO 3 is still to come.
-        push_count: Push frames since the last command was sent.
+        buffer: Received bytes that are not decoded yet.
+        hello_sent: Whether HELLO 3 was sent on this connection.
+        hello_pending: Whether the reply to HELLO 3 is outstanding.
+        push_count: Number of push frames since the last command was sent.
     """
 
     def __init__(self, max_value_bytes: int, reasons: Counter[str]) -> None:
@@ -56,13 +56,15 @@
         self.hello_pending = False
         self.push_count = 0
 
-    def encode_request(self, call: Call, left: float) -> bytes:
-        """Returns the call as a command, after HELLO 3 on a new connection.
+    def encode_request(self, call: Call, remaining_s: float) -> bytes:
+        """Returns the call as a command, preceded by HELLO 3 on a new connection.
+
+        The command's timeout is `remaining_s` seconds.
 
         Raises:
             ValueError: This protocol can't express the call.
         """
-        command = encode_command(call, left)
+        command = encode_command(call, remaining_s)
         self.push_count = 0
         if self.hello_sent:
             return command
@@ -71,10 +73,10 @@
         return HELLO + command
 
     def receive_data(self, data: bytes) -> AttemptResult | None:
-        """Takes received bytes; returns the result once the reply is complete.
+        """Processes received bytes; returns the result once the reply is complete.
 
         Raises:
-            MalformedResponseError: What was received is no reply.
+            MalformedResponseError: The bytes are not a valid reply, or exceed a limit.
         """
         self.buffer += data
         result: AttemptResult | None = None
@@ -96,13 +98,13 @@
         except (MalformedFrameError, hiredis.HiredisError) as error:
             raise MalformedResponseError(str(error)) from None
         self._drop_push_frames()
-        # Anything else would pass for the next reply.
+        # Any other bytes would be taken for the next reply.
         result.reusable = not self.buffer
         self.buffer = b""
         return result
 
     def _drop_push_frames(self) -> None:
-        """Drops the push frames behind a reply, but no more than may come between two."""
+        """Drops push frames after a reply, up to the limit between two replies."""
         while self.buffer[:1] == b">" and self.push_count < MAX_PUSH_FRAMES:
             end = self._find_push_end()
             if end < 0:
@@ -111,26 +113,27 @@
             self.buffer = self.buffer[end:]
 
     def receive_eof(self) -> AttemptResult | None:
-        """Returns None: the end of a connection completes no reply."""
+        """Returns None: no reply is completed by the end of the connection."""
         return None
 
     def _find_push_end(self) -> int:
-        """Returns where the push frame at the start of the buffer ends, or -1 if it does not."""
+        """Returns the end offset of the buffer's first push frame, or -1 if it has none."""
         try:
             return find_frame_end(self.buffer, 0, MAX_VALUE_BYTES, MAX_REPLY_BYTES)
         except MalformedFrameError:
             return -1
 
     def _count_push(self) -> None:
-        """Counts a push frame, which is ignored.
+        """Counts an ignored push frame.
 
         Raises:
-            MalformedFrameError: There were too many; the backend could go on without a reply.
+            MalformedFrameError: There are more than `MAX_PUSH_FRAMES`; otherwise a backend could
+                send push frames forever and never reply.
         """
         self.reasons["pushed"] += 1
         self.push_count += 1
         if self.push_count > MAX_PUSH_FRAMES:
-            raise MalformedFrameError("news without end, and no answer")
+            raise MalformedFrameError("too many push frames without a reply")
 
     def _parse(self, frame: bytes) -> Any:
         """Returns the value of a complete frame."""
@@ -138,25 +141,25 @@
         return self.reader.gets()
 
     def _check_hello(self, frame: bytes) -> None:
-        """Takes the reply to HELLO 3.
+        """Checks the reply to HELLO 3.
 
         Raises:
-            MalformedFrameError: The backend does not speak RESP3.
+            MalformedFrameError: The backend did not switch to RESP3.
         """
         reply = self._parse(frame)
         if not isinstance(reply, dict) or reply.get(b"proto") != 3:
-            raise MalformedFrameError("no RESP3 after HELLO 3")
+            raise MalformedFrameError("backend did not switch to RESP3 after HELLO 3")
         self.hello_pending = False
 
     def _decode_value(self, frame: bytes) -> AttemptResult:
-        """Returns the result of a complete reply that is no error.
+        """Returns the result of a complete reply other than an error.
 
         Raises:
-            MalformedFrameError: It is no map with a value.
+            MalformedFrameError: The reply is not a map with a value.
         """
         reply = self._parse(frame)
         if not isinstance(reply, dict) or not isinstance(reply.get(b"value"), bytes):
-            raise MalformedFrameError("no map with a value")
+            raise MalformedFrameError("reply is not a map with a value")
         value = reply[b"value"]
         if len(value) > self.max_value_bytes:
             self.reasons["too-large"] += 1
@@ -167,23 +170,23 @@
         """Returns the result of a simple error or a blob error.
 
         Raises:
-            MalformedFrameError: The error's code is unknown.
+            MalformedFrameError: The error code is unknown.
         """
-        # hiredis can't parse blob errors; either kind is a header and a text.
+        # hiredis can't parse blob errors, so the text is extracted from the frame here.
         is_simple = frame[0] == SIMPLE_ERROR_MARK
         text = frame[1:-2] if is_simple else frame[frame.index(b"\n") + 1 : -2]
         meaning = ERRORS.get(text.partition(b" ")[0])
         if meaning is ResponseMeaning.REFUSED:
             return AttemptResult(Outcome.OVERLOADED)
         if meaning is None:
-            raise MalformedFrameError(f"an error that means nothing here: {text[:80]!r}")
+            raise MalformedFrameError(f"unknown error code: {text[:80]!r}")
         self.reasons[meaning.name.lower().replace("_", "-")] += 1
         final_response = FAILED_RESPONSE if meaning is ResponseMeaning.MALFORMED else None
         return AttemptResult(Outcome.ERROR, final_response=final_response)
 
 
 def _decode_load_report(report: Any) -> dict[str, float]:
-    """Returns a backend's load report by field; entries that are no figures are left out."""
+    """Returns a backend's load report by field, without unknown fields and invalid numbers."""
     load: dict[str, float] = {}
     if not isinstance(report, dict):
         return load
@@ -198,5 +201,5 @@
 def make_backend_protocol(
     max_value_bytes: int, reasons: Counter[str]
 ) -> Callable[[], Resp3BackendProtocol]:
-    """Returns what makes the codec of one new connection."""
+    """Returns a factory that creates the codec of a new connection."""
     return partial(Resp3BackendProtocol, max_value_bytes, reasons)
--- a/ingress/resp/resp3_client_protocol.py
+++ b/ingress/resp/resp3_client_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of a client's connection that may switch from RESP2 to RESP3.
+"""The codec of a client connection that can switch from RESP2 to RESP3.
 
 Source: RESP3 specification, section "The HELLO command and connection handshake".
 """
@@ -16,11 +16,11 @@
 from ingress.resp.command_encoder import encode_bulk_string
 
 HELLO_HEADER_BYTES: Final = 15
-"""A command's bytes up to the end of the word HELLO: `*N`, `$5`, and the word, each with CRLF."""
+"""A command's bytes through the word HELLO: `*N`, `$5` and the word, each with CRLF."""
 
 
 class Resp3ClientProtocol(RespClientProtocol):
-    """One connection of a client that speaks RESP2 until it sends HELLO 3.
+    """One client connection that speaks RESP2 until the client sends HELLO 3.
 
     Attributes:
         speaks_resp3: Whether the client switched to RESP3.
@@ -36,7 +36,7 @@
         """Decodes the command whose end `find_frame_end` returned last.
 
         Returns:
-            A call, or the reply to a command that needs no backend.
+            A call, or the encoded reply to a command that needs no backend.
 
         Raises:
             InvalidCallError: The command is unknown or invalid.
@@ -48,10 +48,10 @@
         return super().decode_request(frame)
 
     def _hello(self, words: list[bytes]) -> bytes:
-        """Switches to the version that HELLO names, and returns the reply in that version.
+        """Switches to the version that HELLO requests; returns the reply in that version.
 
         Raises:
-            InvalidCallError: The version is unknown, or the command has further arguments.
+            InvalidCallError: The version is unknown, or the command has more arguments.
         """
         if len(words) == 1:
             version = 3 if self.speaks_resp3 else 2
@@ -67,7 +67,7 @@
         return (b"%2\r\n" if self.speaks_resp3 else b"*4\r\n") + server + proto
 
     def encode_response(self, call: Call | None, response: Response) -> bytes:
-        """Returns the reply to a call; in RESP3 a value comes in a map with the request's id."""
+        """Returns the encoded reply to a call; a RESP3 value is in a map with the request id."""
         if self.speaks_resp3 and response.kind is ResponseKind.SERVED and call is not None:
             return (
                 b"%2\r\n"
@@ -76,10 +76,10 @@
                 + encode_bulk_string(b"value")
                 + encode_bulk_string(response.value)
             )
-        # Errors stay simple errors: hiredis, on which most clients rest, can't parse blob errors.
+        # Errors are simple errors: most clients use hiredis, which can't parse blob errors.
         return super().encode_response(call, response)
 
 
 def make_client_protocol(settings: Settings) -> Callable[[], Resp3ClientProtocol]:
-    """Returns what makes the codec of one new connection."""
+    """Returns a factory that creates the codec of a new connection."""
     return partial(Resp3ClientProtocol, CommandDecoder(settings))
--- a/ingress/resp/resp3_frames.py
+++ b/ingress/resp/resp3_frames.py
@@ -1,7 +1,7 @@
-"""Finds where a frame of RESP3 ends in received bytes, before anything is decoded.
+"""Finds the end of a RESP3 frame in received bytes, before the frame is decoded.
 
-A count or a length is checked as soon as its header is complete, and nothing is allocated for what
-a peer only announced.
+Counts and lengths are checked as soon as their header is complete, and no memory is allocated for
+data that a peer has announced but not sent.
 
 Source: RESP3 specification, section "RESP3 types". Attributes are not supported.
 """
@@ -15,9 +15,9 @@
 from ingress.transport.client_protocol import MalformedFrameError
 
 MAX_LINE_BYTES: Final = 1024
-"""Of a frame that is one line."""
+"""A frame of a single line."""
 MAX_NESTED_FRAMES: Final = 128
-"""Frames within one frame, at whatever depth."""
+"""Frames within one frame, at any depth; the outer frame counts too."""
 NUMBER: Final = re.compile(rb"[0-9]{1,9}")
 
 LINE_MARKS: Final = b"+-:_,#("
@@ -34,10 +34,10 @@
 
 
 def find_frame_end(data: bytes, start: int, max_blob_bytes: int, max_frame_bytes: int) -> int:
-    """Returns where the frame at `start` ends, or -1 if more bytes are needed.
+    """Returns the end offset of the frame at `start`, or -1 if it is incomplete.
 
     Raises:
-        MalformedFrameError: What starts there is no frame, or one beyond the limits.
+        MalformedFrameError: The bytes at `start` are not a valid frame, or exceed a limit.
     """
     missing = 1
     frames = 0
@@ -48,7 +48,7 @@
             _check_partial_line(data, at)
             return -1
         mark = data[at]
-        # No slice may end before it begins: in compiled code that is an error, not an empty slice.
+        # Compiled code raises an error for a slice that ends before it starts.
         text = data[at + 1 : header_end] if header_end > at else b""
         missing -= 1
         frames += 1
@@ -74,10 +74,10 @@
 
 
 def _check_partial_line(data: bytes, at: int) -> None:
-    """Checks that the line without an end at `at` may still end within the limit.
+    """Checks that the unterminated line at `at` is within the limit.
 
     Raises:
-        MalformedFrameError: It exceeds the limit.
+        MalformedFrameError: The line exceeds the limit.
     """
     if len(data) - at >= MAX_LINE_BYTES:
         raise MalformedFrameError("an endless line")
@@ -87,7 +87,7 @@
     """Checks that a header without a valid number is RESP2's null bulk string.
 
     Raises:
-        MalformedFrameError: It is not; the text says what is wrong with the header.
+        MalformedFrameError: The header is invalid; the text gives the reason.
     """
     if mark in BLOB_MARKS:
         if text != b"-1" or mark != BLOB_STRING_MARK:
