--- a/ingress/http/backend_protocol.py
+++ b/ingress/http/backend_protocol.py
@@ -188,7 +188,7 @@
         reusable = self.complete and not self.has_excess and self.keep_alive
         if meaning.outcome is not Outcome.OK:
             self.reasons[meaning.reason] += 1
-            return AttemptResult(meaning.outcome, None, {}, reusable, meaning.final)
+            return AttemptResult(meaning.outcome, None, {}, reusable, meaning.final_response)
         try:
             value = http_v2.value(body, self.client_request_id)
         except ValueError as error:
@@ -196,7 +196,7 @@
         if len(value) > self.max_value_bytes:
             self.reasons["too-large"] += 1
             return AttemptResult(Outcome.ERROR, None, {}, reusable, FAILED_RESPONSE)
-        return AttemptResult(meaning.outcome, value, {}, reusable, meaning.final)
+        return AttemptResult(meaning.outcome, value, {}, reusable, meaning.final_response)
 
 
 def make_backend_protocol(
--- a/ingress/protocol_versions/__init__.py
+++ b/ingress/protocol_versions/__init__.py
@@ -1,5 +1,5 @@
-"""Protocol versions: what requests and responses mean in each, and how each expresses it.
+"""Protocol versions: the meaning of requests and responses in each version, and their encoding.
 
-Each version has a file of its own, and a further one changes no other. Nothing here does I/O or
-reads a clock.
+Each version has its own file, so adding a version changes no other. Nothing here does I/O or reads
+a clock.
 """
--- a/ingress/protocol_versions/declaration.py
+++ b/ingress/protocol_versions/declaration.py
@@ -1,4 +1,4 @@
-"""What a protocol version declares of itself, and the registry of all versions."""
+"""The declaration of a protocol version, and the registry of all versions."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class KeyForm(Enum):
-    """How an idempotency key is written; the values stand in tables of `explain`."""
+    """The format of an idempotency key; `explain` prints the values."""
 
     HEX16 = "16 hex digits"
     UUID = "a UUID"
 
 
 class ResponseMeaning(Enum):
-    """What a response can mean, of which a version declares what it can express.
+    """The meaning of a response; each version declares the meanings that it can express.
 
-    The values stand in tables of `explain`, the names in counted reasons.
+    `explain` prints the values; the names are counted as reasons.
     """
 
     SERVED = "served, with a value"
@@ -39,23 +39,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolVersion:
-    """What one protocol version can express.
+    """The capabilities of one protocol version.
 
     Attributes:
-        name: Its name in settings.
-        protocol: The protocol that carries it.
-        key_form: How it writes idempotency keys.
-        key_memory_name: Names the deduplication memory of its backends; backends whose memories
-            have one name recognize one another's repeats.
-        timeout_unit_s: The step in which a request states its timeout, in seconds; 0 if it can't.
-        retry_after_unit_s: The step in which a rejection states when to retry, in seconds; 0 if it
-            can't.
+        name: The version's name in settings.
+        protocol: The underlying protocol.
+        key_form: The format of idempotency keys.
+        key_memory_name: The name of the deduplication memory of the version's backends; backends
+            with the same memory name recognize each other's repeated requests.
+        timeout_unit_s: The resolution of a request's timeout in seconds; 0 if a request can't
+            state one.
+        retry_after_unit_s: The resolution of a rejection's retry delay in seconds; 0 if a rejection
+            can't state one.
         max_value_bytes: The longest value of a response.
         max_body_bytes: The longest body of a request.
-        carries_bytes: Whether bytes are sent as they are, and not encoded as text.
-        is_chunked: Whether a body may come without a length.
-        client_meanings: What a client of this version can be told.
-        backend_meanings: What a backend of this version may respond.
+        carries_bytes: Whether bytes are sent unencoded rather than as text.
+        is_chunked: Whether a body may be sent without a length.
+        client_meanings: The responses that can be sent to a client of this version.
+        backend_meanings: The responses that a backend of this version can send.
     """
 
     name: str
@@ -76,23 +77,23 @@
 
 
 class UnknownProtocolVersionError(Exception):
-    """No protocol version has the name; the text names those that there are."""
+    """No protocol version has this name; the text lists the known names."""
 
 
 def register(version: ProtocolVersion) -> ProtocolVersion:
     """Adds a protocol version to the registry and returns it; each version's file calls it once.
 
     Raises:
-        ValueError: Another version has the name.
+        ValueError: Another version is registered under this name.
     """
     if version.name in _registry and _registry[version.name] != version:
-        raise ValueError(f"two dialects are called {version.name}")
+        raise ValueError(f"dialect {version.name} is already registered")
     _registry[version.name] = version
     return version
 
 
 def protocol_versions() -> dict[str, ProtocolVersion]:
-    """Returns all protocol versions by name, in the order of the names."""
+    """Returns all protocol versions by name, sorted by name."""
     package = importlib.import_module(PACKAGE)
     for module in pkgutil.iter_modules(package.__path__):
         if not module.name.startswith("_"):
@@ -101,14 +102,14 @@
 
 
 def protocol_version(name: str) -> ProtocolVersion:
-    """Returns the protocol version of a name.
+    """Returns the protocol version with this name.
 
     Raises:
-        UnknownProtocolVersionError: There is none.
+        UnknownProtocolVersionError: No version has this name.
     """
     versions = protocol_versions()
     if name not in versions:
         raise UnknownProtocolVersionError(
-            f"{name!r} is no dialect; there are {', '.join(versions)}"
+            f"unknown dialect {name!r}; known dialects: {', '.join(versions)}"
         )
     return versions[name]
--- a/ingress/protocol_versions/groups.py
+++ b/ingress/protocol_versions/groups.py
@@ -1,7 +1,7 @@
-"""Tells the policy which backends share a deduplication memory.
+"""Maps backends that share a deduplication memory to cells of the policy.
 
-The policy knows deduplication scopes only as cells, and backends only by their ids. So the backends
-of one memory get one cell number, and a backend that changes its version gets another id.
+The policy identifies deduplication scopes by cell and backends by id. Therefore all backends of one
+memory get the same cell number, and a backend that changes its version gets a new id.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 def policy_settings(settings: Settings) -> Settings:
-    """Returns the policy's settings where backends have several deduplication memories.
+    """Returns the policy's settings for backends with several deduplication memories.
 
-    The scope of each class with idempotency keys is the cell, as `Grouping` numbers cells.
+    The scope of each class with idempotency keys is the cell that `Grouping` assigns.
     """
     return replace(settings, classes=tuple(map(_with_cell_scope, settings.classes)))
 
 
 def _with_cell_scope(request_class: RequestClass) -> RequestClass:
-    """Returns a class whose scope is the cell, if it has idempotency keys."""
+    """Returns the class with the cell as its scope if it has idempotency keys, else unchanged."""
     if request_class.semantics is not RetrySemantics.IDEMPOTENCY_KEY:
         return request_class
     return replace(request_class, deduplication_scope=DeduplicationScope.CELL)
@@ -30,17 +30,17 @@
 
 @dataclass(slots=True)
 class Grouping:
-    """Translates endpoint lists into those that the policy gets.
+    """Translates endpoint lists from discovery into endpoint lists for the policy.
 
     Attributes:
-        default: The protocol version of a backend that nothing else says one of.
+        default: The protocol version of backends that no other rule matches.
         version_by_kind: Protocol versions by a backend's kind.
-        version_by_cell: Protocol versions by a backend's cell, which goes before its kind.
+        version_by_cell: Protocol versions by a backend's cell; takes precedence over the kind.
         memory_by_version: The name of the deduplication memory of each version's backends.
-        scope: Which backends of one memory share it.
-        version_by_backend: The version that each backend had last, by its id.
+        scope: The scope within which backends of one memory name share the memory.
+        version_by_backend: The last known version of each backend, by its id.
         cell_numbers: The policy's cells, by memory, zone and cell.
-        policy_backends: The backends as the policy got them last, by the policy's id.
+        policy_backends: The last entries that the policy received, by the policy's id.
     """
 
     default: str
@@ -61,11 +61,11 @@
         )
 
     def policy_id(self, backend_id: str, version: str) -> str:
-        """Returns the policy's id of a backend while it speaks a protocol version."""
+        """Returns the policy's id of a backend with a protocol version."""
         return f"{backend_id}#{version}"
 
     def _cell(self, backend: Backend, version: str) -> int:
-        """Returns the number of the backends that share a memory with this one."""
+        """Returns the policy's cell number for all backends that share this backend's memory."""
         group = (
             self.memory_by_version[version],
             backend.zone if self.scope is DeduplicationScope.ZONE else "",
@@ -74,14 +74,14 @@
         return self.cell_numbers.setdefault(group, len(self.cell_numbers) + 1)
 
     def translate(self, backends: tuple[Backend, ...], complete: bool) -> tuple[Backend, ...]:
-        """Returns the policy's entries for those of an endpoint list.
+        """Returns the policy's entries for the entries of an endpoint list.
 
-        A backend that changed its protocol version is removed under its former id: what may have
-        run there stays with the memory that it had.
+        A backend that changed its protocol version is removed under its former id, so that requests
+        that may have run there remain associated with its former memory.
 
         Args:
             backends: The entries.
-            complete: Whether the list leaves out no backend.
+            complete: Whether the list contains all backends.
         """
         if complete:
             self._forget_unlisted({backend.id for backend in backends})
@@ -100,7 +100,7 @@
                 cell=self._cell(backend, version),
             )
             if backend.readiness is Readiness.REMOVED:
-                # Its id may never be listed again.
+                # The id may never be listed again, so its state is dropped now.
                 self.version_by_backend.pop(backend.id, None)
                 self.policy_backends.pop(entry.id, None)
             else:
@@ -110,7 +110,7 @@
         return tuple(entries)
 
     def _forget_unlisted(self, present: set[str]) -> None:
-        """Forgets backends that left without an entry that said so, or the tables would grow."""
+        """Drops the state of backends that left without a REMOVED entry, to bound the tables."""
         for backend_id in [known for known in self.version_by_backend if known not in present]:
             version = self.version_by_backend.pop(backend_id)
             self.policy_backends.pop(self.policy_id(backend_id, version), None)
--- a/ingress/protocol_versions/http_v2.py
+++ b/ingress/protocol_versions/http_v2.py
@@ -1,4 +1,4 @@
-"""http-v2: HTTP/1.1 with JSON. What each status means stands in a table.
+"""http-v2: HTTP/1.1 with JSON. The `STATUS` table defines the meaning of each status.
 
 Sources: RFC 9110 (semantics), RFC 9112 (HTTP/1.1), RFC 9457 (problem details), RFC 6585, section 4
 (429), RFC 8470 (425).
@@ -73,18 +73,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusMeaning:
-    """What a final status means.
+    """The meaning of a final status.
 
     Attributes:
-        meaning: What the response says.
-        outcome: How it ends the attempt.
-        final: What a client gets whose protocol version can't express it, or None.
-        reason: The name under which it is counted.
+        meaning: The meaning of the response.
+        outcome: The outcome of the attempt.
+        final_response: The response to a client whose protocol version can't express the meaning,
+            or None to leave the response to the policy.
+        reason: The name under which the response is counted.
     """
 
     meaning: ResponseMeaning
     outcome: Outcome
-    final: Response | None = None
+    final_response: Response | None = None
     reason: str = ""
 
 
@@ -95,7 +96,8 @@
 
 STATUS: dict[tuple[int, str], StatusMeaning] = {
     (200, ""): StatusMeaning(ResponseMeaning.SERVED, Outcome.OK),
-    # It runs, or will: a retry brings no value sooner, and other versions have no later response.
+    # The request runs or will run: a retry returns no value sooner, and the other versions have no
+    # deferred response.
     (202, ""): StatusMeaning(
         ResponseMeaning.ACCEPTED, Outcome.ERROR, FAILED_RESPONSE, "accepted-later"
     ),
@@ -105,48 +107,48 @@
     (409, KEY_IN_PROGRESS): StatusMeaning(
         ResponseMeaning.IN_PROGRESS, Outcome.ERROR, reason="in-progress"
     ),
-    (409, ""): _UNCLEAR,  # to a retry it may mean that the request ran
+    (409, ""): _UNCLEAR,  # for a retry it can mean that the request ran
     (425, ""): _REJECTED,  # RFC 8470, section 5.2: not processed
     (429, ""): _REJECTED,  # RFC 6585, section 4
     (503, NOT_STARTED): _REJECTED,
-    (503, ""): _UNCLEAR,  # it may have run, so it is no rejection
+    (503, ""): _UNCLEAR,  # the request may have run, so this is not a rejection
     (500, ""): _FAILED,
     (502, ""): _UNCLEAR,
     (504, ""): _UNCLEAR,
 }
-"""By status and type of the problem details; "" stands for any other type, or none."""
+"""By status and problem type; "" matches any other type or a missing one."""
 _ELSEWHERE = StatusMeaning(ResponseMeaning.ELSEWHERE, Outcome.ERROR, FAILED_RESPONSE, "redirect")
 
 
 def status_meaning(status: int, problem_type: str) -> StatusMeaning:
-    """Returns what a final status with that type of problem details, without prefix, means."""
-    found = STATUS.get((status, problem_type)) or STATUS.get((status, ""))
-    if found is not None:
-        return found
+    """Returns the meaning of a final status with a problem type (without its prefix)."""
+    meaning = STATUS.get((status, problem_type)) or STATUS.get((status, ""))
+    if meaning is not None:
+        return meaning
     if 300 <= status < 400:
         return _ELSEWHERE
     return _MALFORMED if 400 <= status < 500 else _UNCLEAR
 
 
-def encode_request(call: Call, left: float, host: str) -> bytes:
+def encode_request(call: Call, remaining_s: float, host: str) -> bytes:
     """Returns a call as a request to a backend.
 
     Args:
         call: The call.
-        left: Seconds that the backend is told to take at most.
+        remaining_s: The timeout that the request states, in seconds.
         host: The Host field.
 
     Raises:
-        ValueError: A value can't stand in a field; nothing of a call may become a further field.
+        ValueError: A value is not allowed in an HTTP field; a call must not inject fields.
     """
     request_id = call.client_request_id.decode("latin-1")
     for word in (request_id, call.customer, call.plan, host):
         if not word.isascii() or not word.isprintable() or " " in word:
-            raise ValueError("a value that no HTTP field may hold")
+            raise ValueError("value not allowed in an HTTP field")
     fields = (
         f"Host: {host}\r\nX-Request-Id: {request_id}\r\n"
         f"Grid-Customer: {call.customer}\r\nGrid-Plan: {call.plan}\r\n"
-        f"Grid-Units: {call.units:g}\r\nGrid-Deadline-Ms: {max(1, int(left * MS_PER_S))}\r\n"
+        f"Grid-Units: {call.units:g}\r\nGrid-Deadline-Ms: {max(1, int(remaining_s * MS_PER_S))}\r\n"
     )
     if not call.is_write:
         path = quote(call.request_class, safe="")
@@ -166,10 +168,10 @@
 
 @dataclass(init=False, slots=True)
 class HttpCall(Call):
-    """A call that came in this version; its `idempotency_key` has the form of resp2-v1.
+    """A call received in this version; its `idempotency_key` is converted to the resp2-v1 format.
 
     Attributes:
-        uuid: The idempotency key as it came, or None.
+        uuid: The idempotency key as received, or None.
     """
 
     uuid: UUID | None
@@ -218,12 +220,12 @@
     b"grid-first": FIRST_GATEWAY_FIELD,
     b"grid-retry": RETRY_FIELD,
 }
-"""Fields of a call by the header field that holds them."""
+"""Call fields by HTTP field name."""
 FIELD_NAMES: Final = {field: header.decode().title() for header, field in HEADER_FIELDS.items()} | {
     CLASS_FIELD: "class",
     IDEMPOTENCY_KEY_FIELD: "Idempotency-Key",
 }
-"""What error messages call the fields of a call."""
+"""Names of call fields in error messages."""
 READ_PATH: Final = b"/v2/grids/"
 WRITE_PATH: Final = b"/v2/solutions"
 REQUEST_ID: Final = re.compile(rb"[!-~]{1,128}")
@@ -233,10 +235,10 @@
 def decode_request(
     limits: CallLimits, method: bytes, target: bytes, headers: Mapping[bytes, bytes], body: bytes
 ) -> HttpCall:
-    """Returns the call of a client's request.
+    """Returns the call that a client's request encodes.
 
     Raises:
-        InvalidCallError: Something is missing or not allowed.
+        InvalidCallError: A field or the body is missing or invalid, or the resource is unknown.
     """
     is_write = method == b"POST"
     fields = {
@@ -282,22 +284,22 @@
 
 
 def _decode_uuid(value: bytes) -> UUID:
-    """Returns the idempotency key of a header field.
+    """Returns the idempotency key of an HTTP field value, quoted or not.
 
     Raises:
-        InvalidCallError: It is no UUID.
+        InvalidCallError: The value is not a UUID.
     """
-    found = QUOTED_UUID.fullmatch(value)
-    if found is None:
+    match = QUOTED_UUID.fullmatch(value)
+    if match is None:
         raise InvalidCallError("Idempotency-Key is not a UUID")
-    return UUID(found[1].decode("ascii"))
+    return UUID(match[1].decode("ascii"))
 
 
 def _decode_body(body: bytes) -> tuple[str, bytes]:
-    """Returns class and solution of a request's body.
+    """Returns the request class and the decoded solution from a request's body.
 
     Raises:
-        InvalidCallError: The body is not a class and a solution in JSON.
+        InvalidCallError: The body is not a JSON object with a class and a base64 solution.
     """
     try:
         document = json.loads(body)
@@ -305,7 +307,7 @@
         solution = document["solution"]
         if not isinstance(request_class, str) or not isinstance(solution, str):
             raise InvalidCallError("class or solution is no text")
-        # JSON can hold half a surrogate pair, which no other version can express.
+        # JSON allows lone surrogates, which the other versions can't express.
         request_class.encode()
         return request_class, base64.b64decode(solution, validate=True)
     except (ValueError, KeyError, TypeError, RecursionError):
@@ -313,7 +315,7 @@
 
 
 def encode_response(call: Call | None, response: Response) -> bytes:
-    """Returns the final response to a call."""
+    """Returns the encoded final response to a call."""
     if response.kind is ResponseKind.SERVED and call is not None:
         body = {
             "id": call.client_request_id.decode("latin-1"),
@@ -333,12 +335,12 @@
 
 
 def encode_json_response(status: int, body: object, fields: str = "") -> bytes:
-    """Returns a response with a body of JSON.
+    """Returns an encoded response with a JSON body.
 
     Args:
         status: One of `REASON_PHRASES`.
-        body: What the body holds.
-        fields: Further fields, each with its CRLF.
+        body: The content of the body; must be serializable as JSON.
+        fields: Additional fields, each with its CRLF.
     """
     text = json.dumps(body).encode("ascii")
     media_type = "application/json" if status < 300 else "application/problem+json"
@@ -358,27 +360,27 @@
 
 
 def problem_type(body: bytes) -> str:
-    """Returns the type of problem details (RFC 9457, section 3.1.1) without prefix.
+    """Returns the type of problem details without its prefix, or "" if the body has none.
 
-    It is "" if the body has none.
+    Source: RFC 9457, section 3.1.1.
     """
     try:
-        found = json.loads(body).get("type", "")
+        type_uri = json.loads(body).get("type", "")
     except (ValueError, AttributeError, RecursionError):
         return ""
-    return found.removeprefix(PROBLEM_TYPE_PREFIX) if isinstance(found, str) else ""
+    return type_uri.removeprefix(PROBLEM_TYPE_PREFIX) if isinstance(type_uri, str) else ""
 
 
 def value(body: bytes, client_request_id: bytes) -> bytes:
-    """Returns the value of a response of 200 to a request.
+    """Returns the value from the body of a 200 response.
 
     Raises:
-        ValueError: The body has no value, or is the response to another request.
+        ValueError: The body has no value, or belongs to another request.
     """
     try:
         document = json.loads(body)
         if document["id"] != client_request_id.decode("latin-1"):
-            raise ValueError("an answer to another request")
+            raise ValueError("response to another request")
         return base64.b64decode(document["value"], validate=True)
     except (KeyError, TypeError, RecursionError, binascii.Error) as error:
-        raise ValueError(f"no value: {type(error).__name__}") from None
+        raise ValueError(f"response has no value: {type(error).__name__}") from None
--- a/ingress/protocol_versions/resp3_v2.py
+++ b/ingress/protocol_versions/resp3_v2.py
@@ -1,6 +1,6 @@
 """resp3-v2: API.READ and API.WRITE over RESP3, after HELLO 3.
 
-Its backends share a deduplication memory with those of resp2-v1.
+Its backends share a deduplication memory with resp2-v1 backends.
 
 Source: RESP3 specification, section "RESP3 types" (map, double, null, blob error, push).
 """
@@ -57,4 +57,4 @@
     b"UNCLEAR": ResponseMeaning.MAY_HAVE_RUN,
     b"SYNTAX": ResponseMeaning.MALFORMED,
 }
-"""What the first word of an error means."""
+"""The meaning of an error by its first word."""
--- a/tests/test_dialects.py
+++ b/tests/test_dialects.py
@@ -31,7 +31,7 @@
 )
 from ingress.protocol_versions.groups import Grouping, policy_settings
 from ingress.protocol_versions.keys import check_classes, key_of, uuid_of
-from ingress.protocol_versions.pairs import INSTEAD, Fate, table
+from ingress.protocol_versions.pairs import FALLBACKS, Fidelity, table
 
 KEYS = st.from_regex(r"\A[0-9a-f]{16}\Z")
 CUSTOMERS = st.from_regex(r"\A0{7}[01][0-9a-f]{8}\Z")
@@ -101,21 +101,23 @@
 def test_every_answer_of_every_server_is_told_or_has_a_stand_in_that_can_be_told() -> None:
     for client in protocol_versions().values():
         for server in protocol_versions().values():
-            cells = table(client, server)
+            rows = table(client, server)
             assert {meaning.value for meaning in server.backend_meanings} <= {
-                cell.feature for cell in cells
+                row.feature for row in rows
             }
             for meaning in (
                 server.backend_meanings - client.client_meanings - {ResponseMeaning.UNASKED}
             ):
-                assert INSTEAD[meaning][0] in client.client_meanings
+                assert FALLBACKS[meaning][0] in client.client_meanings
     same = table(protocol_version("resp2-v1"), protocol_version("resp2-v1"))
-    assert all(cell.fate is Fate.CARRIED for cell in same)
+    assert all(row.fate is Fidelity.CARRIED for row in same)
 
 
 def test_a_request_that_may_have_run_is_never_reported_as_rejected() -> None:
     assert {
-        meaning for meaning, (instead, _) in INSTEAD.items() if instead is ResponseMeaning.REFUSED
+        meaning
+        for meaning, (fallback, _) in FALLBACKS.items()
+        if fallback is ResponseMeaning.REFUSED
     } == {ResponseMeaning.REFUSED_UNTIL}
 
 
@@ -124,17 +126,18 @@
     text = capsys.readouterr().out
     assert "~  key memory" in text and "x  accepted, the result comes later" in text
     assert main(["explain", "resp2-v1", "http-v2", "--json"]) == 0
-    cells = json.loads(capsys.readouterr().out)
-    assert {"feature", "client", "server", "fate", "becomes"} == set(cells[0])
+    rows = json.loads(capsys.readouterr().out)
+    assert {"feature", "client", "server", "fate", "becomes"} == set(rows[0])
     assert main(["explain", "resp2-v1", "gopher"]) == 2
     assert (
-        "'gopher' is no dialect; there are http-v2, resp2-v1, resp3-v2" in capsys.readouterr().err
+        "unknown dialect 'gopher'; known dialects: http-v2, resp2-v1, resp3-v2"
+        in capsys.readouterr().err
     )
     assert main(["list"]) == 0 and "http-v2" in capsys.readouterr().out
 
 
 def test_a_name_is_registered_once() -> None:
-    with pytest.raises(ValueError, match="two dialects are called http-v2"):
+    with pytest.raises(ValueError, match="dialect http-v2 is already registered"):
         register(replace(protocol_version("http-v2"), is_chunked=False))
     with pytest.raises(UnknownProtocolVersionError):
         protocol_version("nope")
@@ -168,7 +171,7 @@
     ],
 )
 def test_nothing_of_a_call_becomes_a_field_of_its_own(change: dict[str, object]) -> None:
-    with pytest.raises(ValueError, match="no HTTP field"):
+    with pytest.raises(ValueError, match="not allowed in an HTTP field"):
         http_v2.encode_request(replace(CALL, **change), 1.0, "grid.internal")  # type: ignore[arg-type]
 
 
@@ -211,7 +214,7 @@
     status: int, problem: str, outcome: Outcome, final: bool
 ) -> None:
     found = http_v2.status_meaning(status, problem)
-    assert found.outcome is outcome and (found.final is not None) is final
+    assert found.outcome is outcome and (found.final_response is not None) is final
     # Only what proves that nothing ran may become a refusal.
     assert (found.outcome.never_ran) is (found.meaning is ResponseMeaning.REFUSED)
 
