--- a/ingress/protocol_versions/declaration.py
+++ b/ingress/protocol_versions/declaration.py
@@ -87,7 +87,7 @@
         ValueError: Another version is registered under this name.
     """
     if version.name in _registry and _registry[version.name] != version:
-        raise ValueError(f"dialect {version.name} is already registered")
+        raise ValueError(f"dialect already registered: {version.name}")
     _registry[version.name] = version
     return version
 
@@ -110,6 +110,6 @@
     versions = protocol_versions()
     if name not in versions:
         raise UnknownProtocolVersionError(
-            f"unknown dialect {name!r}; known dialects: {', '.join(versions)}"
+            f"{name!r} is not a known dialect; known dialects: {', '.join(versions)}"
         )
     return versions[name]
--- a/tests/test_dialects.py
+++ b/tests/test_dialects.py
@@ -130,14 +130,14 @@
     assert {"feature", "client", "server", "fate", "becomes"} == set(rows[0])
     assert main(["explain", "resp2-v1", "gopher"]) == 2
     assert (
-        "unknown dialect 'gopher'; known dialects: http-v2, resp2-v1, resp3-v2"
+        "'gopher' is not a known dialect; known dialects: http-v2, resp2-v1, resp3-v2"
         in capsys.readouterr().err
     )
     assert main(["list"]) == 0 and "http-v2" in capsys.readouterr().out
 
 
 def test_a_name_is_registered_once() -> None:
-    with pytest.raises(ValueError, match="dialect http-v2 is already registered"):
+    with pytest.raises(ValueError, match="dialect already registered: http-v2"):
         register(replace(protocol_version("http-v2"), is_chunked=False))
     with pytest.raises(UnknownProtocolVersionError):
         protocol_version("nope")
