--- a/tests/test_dialects.py
+++ b/tests/test_dialects.py
@@ -39,10 +39,10 @@
 
 
 @given(KEYS, CUSTOMERS, CLASSES)
-def test_a_hex_key_is_recovered_from_its_uuid(key: str, customer: str, cls: str) -> None:
-    uuid = uuid_of(key, customer, cls)
+def test_a_hex_key_is_recovered_from_its_uuid(key: str, customer: str, class_name: str) -> None:
+    uuid = uuid_of(key, customer, class_name)
     assert uuid.version == 8 and str(uuid) == str(UUID(str(uuid)))
-    assert key_of(uuid, customer, cls) == key and uuid_of(key, customer, cls) == uuid
+    assert key_of(uuid, customer, class_name) == key and uuid_of(key, customer, class_name) == uuid
 
 
 @given(
@@ -69,7 +69,7 @@
 
 
 def test_a_million_submissions_get_distinct_keys_in_both_directions() -> None:
-    """The inputs are similar: consecutive keys, few customers and three classes; and foreign UUIDs."""
+    """Uses similar inputs (consecutive keys, few customers, three classes) and foreign UUIDs."""
     rng, count = random.Random(5), 1_000_000
     uuids = {
         uuid_of(
@@ -177,13 +177,13 @@
 
 @given(st.text(max_size=40), st.binary(max_size=200), st.text(min_size=1, max_size=30))
 def test_arbitrary_keys_bodies_and_classes_inject_no_http_fields(
-    key: str, body: bytes, request_class: str
+    key: str, body: bytes, class_name: str
 ) -> None:
-    call = replace(CALL, idempotency_key=key, body=body, request_class=request_class)
+    call = replace(CALL, idempotency_key=key, body=body, request_class=class_name)
     head, _, content = http_v2.encode_request(call, 0.48, "grid.internal").partition(b"\r\n\r\n")
     lines = head.decode("ascii").split("\r\n")
     assert len(lines) == 1 + (9 if key else 8) and f"Content-Length: {len(content)}" in lines
-    assert "Grid-Deadline-Ms: 480" in lines and json.loads(content)["class"] == request_class
+    assert "Grid-Deadline-Ms: 480" in lines and json.loads(content)["class"] == class_name
     read_lines = http_v2.encode_request(replace(call, is_write=False), 0.48, "grid.internal").split(
         b"\r\n"
     )
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -107,7 +107,7 @@
         return cls(*await asyncio.open_connection(*address))
 
     async def answer(self, method: str = "GET") -> tuple[int, dict[str, str], Any]:
-        """Returns status, fields and JSON body of the next response; the request may be sent as raw bytes."""
+        """Returns status, fields and JSON body of the next response, whichever request was sent."""
         if self.http.our_state is h11.IDLE:
             self.http.send(h11.Request(method=method, target="/", headers=[("Host", "x")]))
             self.http.send(h11.EndOfMessage())
@@ -144,14 +144,12 @@
     body: bytes,
 ) -> Any:
     url = f"http://{address[0]}:{address[1]}"
-    headers = FIELDS | {"X-Request-Id": request_id}
+    fields = FIELDS | {"X-Request-Id": request_id}
     if request_class == "read":
-        response = await session.get(f"{url}/v2/grids/read", headers=headers)
+        response = await session.get(f"{url}/v2/grids/read", headers=fields)
     else:
-        headers |= {"Idempotency-Key": str(uuid4())}
-        response = await session.post(
-            f"{url}/v2/solutions", headers=headers, data=encode_body(body)
-        )
+        fields |= {"Idempotency-Key": str(uuid4())}
+        response = await session.post(f"{url}/v2/solutions", headers=fields, data=encode_body(body))
     assert response.status == 200, await response.text()
     document = await response.json()
     assert document["id"] == request_id
--- a/tests/test_http_wire.py
+++ b/tests/test_http_wire.py
@@ -74,7 +74,7 @@
     return protocol
 
 
-def decode(data: bytes, protocol: HttpBackendProtocol | None = None) -> AttemptResult:
+def decode_response(data: bytes, protocol: HttpBackendProtocol | None = None) -> AttemptResult:
     result = (protocol or make_protocol()).receive_data(data)
     assert result is not None
     return result
@@ -95,7 +95,7 @@
     ids=["length", "chunked", "continue", "continues", "hints"],
 )
 def test_decodes_a_value_at_once_and_byte_by_byte(data: bytes) -> None:
-    assert decode(data) == AttemptResult(Outcome.OK, b"hello")
+    assert decode_response(data) == AttemptResult(Outcome.OK, b"hello")
     protocol = make_protocol()
     for offset in range(len(data) - 1):
         assert protocol.receive_data(data[offset : offset + 1]) is None
@@ -160,7 +160,7 @@
     data: bytes, outcome: Outcome, final: bool, reason: str
 ) -> None:
     protocol = make_protocol()
-    result = decode(data, protocol)
+    result = decode_response(data, protocol)
     assert (
         result.outcome is outcome
         and result.value is None
@@ -171,10 +171,10 @@
 
 def test_a_value_too_large_for_the_client_fails_at_once() -> None:
     protocol = make_protocol(max_value_bytes=4)
-    assert decode(response(), protocol).final_response == FAILED_RESPONSE and protocol.reasons == {
-        "too-large": 1
-    }
-    assert decode(response(), make_protocol(max_value_bytes=5)).value == b"hello"
+    assert decode_response(
+        response(), protocol
+    ).final_response == FAILED_RESPONSE and protocol.reasons == {"too-large": 1}
+    assert decode_response(response(), make_protocol(max_value_bytes=5)).value == b"hello"
 
 
 @pytest.mark.parametrize(
@@ -205,9 +205,9 @@
 
 
 def test_bytes_after_a_response_or_connection_close_prevent_reuse() -> None:
-    assert not decode(response() + response()).reusable
-    assert not decode(response("200 OK", VALUE, "Connection: close")).reusable
-    assert decode(response()).reusable
+    assert not decode_response(response() + response()).reusable
+    assert not decode_response(response("200 OK", VALUE, "Connection: close")).reusable
+    assert decode_response(response()).reusable
 
 
 def test_random_bytes_raise_only_malformed_response_errors() -> None:
