--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -448,7 +448,7 @@
 def test_an_unexpected_codec_exception_fails_one_request_and_no_other_connection(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real = getattr(HttpClientProtocol, method)
+    original = getattr(HttpClientProtocol, method)
 
     def failing_method(self: HttpClientProtocol, *arguments: Any) -> Any:
         data = arguments[0] if method != "encode_response" else arguments[0].client_request_id
@@ -456,13 +456,13 @@
             method != "encode_response" or arguments[1] is not FAILED_RESPONSE
         ):
             raise OverflowError("unexpected error")
-        return real(self, *arguments)
+        return original(self, *arguments)
 
     async def body() -> None:
         monkeypatch.setattr(HttpClientProtocol, method, failing_method)
         async with (
-            backend(value(b"v")) as old,
-            serving(entry(old.address)) as (application, _, address),
+            backend(value(b"v")) as resp_backend,
+            serving(entry(resp_backend.address)) as (application, _, address),
         ):
             http, other_client = await HttpClient.to(address), await HttpClient.to(address)
             status, _, problem = await http.ask(READ.replace("r1", "bad").encode())
@@ -500,7 +500,7 @@
             calls.append(protocol.decode_request(stream[offset:end]))
             offset = end
     assert offset == len(stream) and [
-        c.request_class for c in calls if isinstance(c, HttpCall)
+        call.request_class for call in calls if isinstance(call, HttpCall)
     ] == [
         "order",
         "read",
@@ -541,9 +541,9 @@
 
 def test_graceful_shutdown_closes_http_client_connections() -> None:
     async def body() -> None:
-        async with backend(value(b"v")) as old:
+        async with backend(value(b"v")) as resp_backend:
             application, stop = (
-                Application(config(entry(old.address)), operator=OPERATOR),
+                Application(config(entry(resp_backend.address)), operator=OPERATOR),
                 asyncio.Event(),
             )
             task = asyncio.create_task(application.run(stop))
--- a/tests/test_http_wire.py
+++ b/tests/test_http_wire.py
@@ -52,7 +52,7 @@
     return response(
         status,
         json.dumps({"type": f"urn:grid:problem:{problem_type}"}).encode(),
-        problem_type="application/problem+json",
+        media_type="application/problem+json",
     )
 
 
