--- a/ingress/protocol_versions/__main__.py
+++ b/ingress/protocol_versions/__main__.py
@@ -24,7 +24,9 @@
 def format_table(rows: Sequence[FeatureRow], client: str, server: str) -> str:
     """Returns a pair's table as text; ~ marks lossy features, x features that can't be carried."""
     lines = [("", "", f"client {client}", f"server {server}", "becomes")]
-    lines += [(MARKS[row.fate], row.feature, row.client, row.server, row.becomes) for row in rows]
+    lines += [
+        (MARKS[row.fidelity], row.feature, row.client, row.server, row.becomes) for row in rows
+    ]
     widths = [max(len(line[column]) for line in lines) for column in range(ALIGNED_COLUMNS)]
     texts = [
         "  ".join([*map(str.ljust, line[:ALIGNED_COLUMNS], widths), line[ALIGNED_COLUMNS]]).rstrip()
@@ -40,7 +42,7 @@
             "feature": row.feature,
             "client": row.client,
             "server": row.server,
-            "fate": row.fate.value,
+            "fate": row.fidelity.value,
             "becomes": row.becomes,
         }
         for row in rows
--- a/ingress/protocol_versions/pairs.py
+++ b/ingress/protocol_versions/pairs.py
@@ -28,14 +28,14 @@
         feature: The name of the feature.
         client: The feature in the clients' version.
         server: The feature in the backends' version.
-        fate: How completely the feature is carried.
+        fidelity: How completely the feature is carried.
         becomes: The result of the translation.
     """
 
     feature: str
     client: str
     server: str
-    fate: Fidelity
+    fidelity: Fidelity
     becomes: str
 
 
@@ -93,15 +93,15 @@
 
 def _keys(client: ProtocolVersion, server: ProtocolVersion) -> FeatureRow:
     if client.key_form is server.key_form:
-        fate = Fidelity.CARRIED
+        fidelity = Fidelity.CARRIED
         becomes = "the same key"
     elif server.key_form is KeyForm.UUID:
-        fate = Fidelity.CARRIED
+        fidelity = Fidelity.CARRIED
         becomes = "a UUIDv8 derived one to one from key, customer and class"
     else:
-        fate = Fidelity.LOSSY
+        fidelity = Fidelity.LOSSY
         becomes = "64 bits of a hash; two of 10**5 collide with probability 3e-10"
-    return FeatureRow("key", client.key_form.value, server.key_form.value, fate, becomes)
+    return FeatureRow("key", client.key_form.value, server.key_form.value, fidelity, becomes)
 
 
 def _memory(client: ProtocolVersion, server: ProtocolVersion) -> FeatureRow:
@@ -122,16 +122,16 @@
 
 def _timeout(client: ProtocolVersion, server: ProtocolVersion) -> FeatureRow:
     if not server.timeout_unit_s:
-        fate = Fidelity.IMPOSSIBLE
+        fidelity = Fidelity.IMPOSSIBLE
     elif server.timeout_unit_s > client.timeout_unit_s:
-        fate = Fidelity.LOSSY
+        fidelity = Fidelity.LOSSY
     else:
-        fate = Fidelity.CARRIED
+        fidelity = Fidelity.CARRIED
     return FeatureRow(
         "deadline",
         _unit(client.timeout_unit_s),
         _unit(server.timeout_unit_s),
-        fate,
+        fidelity,
         "the remaining time, so that no clocks are compared"
         if server.timeout_unit_s
         else "not sent; the ingress ends the attempt itself",
@@ -192,11 +192,11 @@
             "dropped between two replies; counted as pushed",
         )
     fallback, reason = FALLBACKS[meaning]
-    fate = Fidelity.LOSSY if fallback is ResponseMeaning.REFUSED else Fidelity.IMPOSSIBLE
+    fidelity = Fidelity.LOSSY if fallback is ResponseMeaning.REFUSED else Fidelity.IMPOSSIBLE
     return FeatureRow(
         meaning.value,
         "not expressible",
         "said",
-        fate,
+        fidelity,
         f"reported as {fallback.name.lower()}: {reason}",
     )
--- a/tests/golden_cases/reports.py
+++ b/tests/golden_cases/reports.py
@@ -214,7 +214,7 @@
     versions = protocol_versions()
     return {
         f"{client} {backend}": plain(
-            [cell.fate for cell in pair_table(versions[client], versions[backend])]
+            [cell.fidelity for cell in pair_table(versions[client], versions[backend])]
         )
         for client in versions
         for backend in versions
--- a/tests/test_dialects.py
+++ b/tests/test_dialects.py
@@ -110,7 +110,7 @@
             ):
                 assert FALLBACKS[meaning][0] in client.client_meanings
     same = table(protocol_version("resp2-v1"), protocol_version("resp2-v1"))
-    assert all(row.fate is Fidelity.CARRIED for row in same)
+    assert all(row.fidelity is Fidelity.CARRIED for row in same)
 
 
 def test_a_request_that_may_have_run_is_never_reported_as_rejected() -> None:
