--- a/ingress/components/membership_transport.py
+++ b/ingress/components/membership_transport.py
@@ -183,7 +183,7 @@
             "taken": counts.accepted,
             "refused": counts.rejected,
             "shunned": counts.ejections,
-            "looker": counts.times_prober,
+            "looker": counts.prober_selections,
         }
 
     def close(self) -> None:
--- a/ingress/fleet_shedding/__init__.py
+++ b/ingress/fleet_shedding/__init__.py
@@ -1,4 +1,4 @@
-"""Shedding load as one fleet, by what instances tell one another of load and of backends.
+"""Fleet-wide load shedding from the load and backend health that instances report to each other.
 
-No I/O, no clock.
+Does no I/O and reads no clock.
 """
--- a/ingress/fleet_shedding/gossip_bridge.py
+++ b/ingress/fleet_shedding/gossip_bridge.py
@@ -1,8 +1,8 @@
-"""Joins membership, the fleet's reports and the policy.
+"""Connects the membership protocol, the fleet's reports and the policy.
 
-Reports go out with every message; the fleet's load and the ejected backends go to the policy as
-events. No I/O, no clock: whoever drives it, the program or the simulation, brings messages and the
-time.
+Every membership message carries reports. The policy receives the fleet's shed fraction and the
+ejected backends as events. Does no I/O and reads no clock: the caller, the program or the
+simulation, passes in the messages and the time.
 """
 
 from __future__ import annotations
@@ -30,20 +30,20 @@
 from ingress.policy.concurrency_limiter import ConcurrencyLimiter
 from ingress.policy.events import Event, FleetShedFraction, PeerEjections
 
-VALIDITY_S: Final = 1.0  # of an event: a process that stood still does not go by an old one
-FAILURES_THAT_EJECT: Final = 3  # consecutive ones, as in the policy
+EVENT_VALIDITY_S: Final = 1.0  # so that a process does not use an old event after a stall
+EJECTION_THRESHOLD: Final = 3  # consecutive failures, as in the policy
 RATE_TIME_CONSTANT_S: Final = 2.0
 
 
 @dataclass(slots=True)
 class BridgeCounts:
-    """What happened since the start, in ticks.
+    """Numbers of ticks since the start, by result.
 
     Attributes:
-        fleet_loads: A fleet's load was known.
-        shedding: It said to shed.
-        too_few_reports: Too little was heard, and this instance went by its own.
-        after_stall: This process had just stood still, and believed nothing that it held.
+        fleet_loads: The fleet's load was known.
+        shedding: The fleet's shed fraction was above 0.
+        too_few_reports: Too few reports were fresh, so this instance used its own load alone.
+        after_stall: This process had just stalled and ignored all reports received before.
     """
 
     fleet_loads: int = 0
@@ -53,7 +53,7 @@
 
 
 class RateMeter:
-    """The rate at which a counter grows, per second, with exponentially decaying weights."""
+    """Measures the growth of a counter per second, as an exponentially weighted average."""
 
     def __init__(self, now: float) -> None:
         self.updated_at = now
@@ -61,25 +61,27 @@
         self.rate = 0.0
 
     def update(self, now: float, count: int) -> None:
-        """Takes the counter's present value."""
+        """Updates the rate from the current value of the counter."""
         elapsed_s = now - self.updated_at
         if elapsed_s <= 0:
             return
-        keep = exp(-elapsed_s / RATE_TIME_CONSTANT_S)
-        self.rate = self.rate * keep + (count - self.count) / elapsed_s * (1.0 - keep)
+        decay = exp(-elapsed_s / RATE_TIME_CONSTANT_S)
+        self.rate = self.rate * decay + (count - self.count) / elapsed_s * (1.0 - decay)
         self.count = count
         self.updated_at = now
 
 
 class GossipBridge:
-    """One instance's part in the fleet; `last_load` is the fleet's load by the last tick, if known.
+    """Exchanges reports with the fleet on behalf of one instance.
+
+    `last_load` is the fleet's load as of the last tick, or None if it was unknown.
 
     Args:
         swim: The membership protocol.
-        limiter: The policy's limiter, which is only read.
-        backends: The policy's backends by name, which are only read.
-        zone: This instance's zone.
-        now: The present time.
+        limiter: The policy's concurrency limiter, read only.
+        backends: The policy's backends by name, read only.
+        zone: The zone of this instance.
+        now: The current time in seconds.
     """
 
     def __init__(
@@ -104,16 +106,20 @@
     def tick(
         self, now: float, requests: int, attempts: int
     ) -> tuple[list[OutgoingMessage], list[Event]]:
-        """Returns what to send, and the events for the policy. To be called several times a second.
+        """Returns the messages to send and the events for the policy.
+
+        Must be called several times per second.
 
-        `requests` and `attempts` count since the start what clients asked for and what was
-        forwarded.
+        Args:
+            now: The current time in seconds.
+            requests: Number of requests received from clients since the start.
+            attempts: Number of attempts forwarded since the start.
         """
         self._report(now, requests, attempts)
         out = self.swim.tick(now)
         if not self.swim.recovered_from_stall(now):
             self.counts.after_stall += 1
-            return out, []  # what is held is from before this process stood still
+            return out, []  # all reports held are from before the stall
         events: list[Event] = []
         fleet_shed_fraction = self._fleet_shed_fraction(now)
         if fleet_shed_fraction is not None:
@@ -122,7 +128,7 @@
             now, self.swim.reachable_names(), self.backends.keys(), self.load_reports.zones()
         )
         if ejected:
-            events.append(PeerEjections(ejected, now + VALIDITY_S))
+            events.append(PeerEjections(ejected, now + EVENT_VALIDITY_S))
         return out, events
 
     def _report(self, now: float, requests: int, attempts: int) -> None:
@@ -132,9 +138,9 @@
             now, self.offered.rate, self.admitted.rate, self.limiter.utilization(now)
         )
         local_health = self.swim.detector.local_health
-        self.health_gossip.observe_backends(now, self.backends, FAILURES_THAT_EJECT, local_health)
-        # A datagram has room for a dozen reports and as many observations: the encoder drops what
-        # does not fit from the end.
+        self.health_gossip.observe_backends(now, self.backends, EJECTION_THRESHOLD, local_health)
+        # A datagram has room for about a dozen reports and a dozen observations; the encoder drops
+        # the last ones if they do not fit.
         own, *others = self.load_reports.encode_newest(now, MAX_PAYLOADS)
         observations = self.health_gossip.encode_newest(now)
         self.swim.payloads = [own, *observations, *others][:MAX_PAYLOADS]
@@ -150,10 +156,10 @@
             return None
         self.counts.fleet_loads += 1
         self.counts.shedding += load.shed_fraction > 0.0
-        return FleetShedFraction(load.shed_fraction, now + VALIDITY_S)
+        return FleetShedFraction(load.shed_fraction, now + EVENT_VALIDITY_S)
 
     def receive(self, now: float, source: Address, message: Message) -> list[OutgoingMessage]:
-        """Takes a message and the reports that it carries; returns the answers to it."""
+        """Processes a message and the reports in it, and returns the replies."""
         out = self.swim.receive(now, source, message)
         payloads = self.swim.received_payloads
         self.swim.received_payloads = []
--- a/ingress/fleet_shedding/health_gossip.py
+++ b/ingress/fleet_shedding/health_gossip.py
@@ -1,12 +1,12 @@
-"""What each gateway observed of each backend, so that few probe one that is down.
+"""Backend health shared between gateways, so that few of them probe a backend that is down.
 
-Where each of hundreds of gateways has to find out for itself, each sends what fails to a dead
-backend, and goes on trying it. A backend that is believed to be down is left alone by all but its
-probers, which rendezvous hashing chooses (Thaler and Ravishankar, 1996), so that their number does
-not grow with the fleet.
+If hundreds of gateways had to detect a dead backend independently, each of them would send failing
+requests to it and keep retrying. Instead, only the probers of a backend that is considered down
+send requests to it. Rendezvous hashing (Thaler and Ravishankar, 1996) chooses the probers, so that
+their number does not grow with the fleet.
 
-Trust is bounded: a single observer ejects nothing, and one that had a response since outweighs all
-others. Once nothing fresh is heard, each gateway falls back to what it sees alone.
+Trust is bounded: one observer cannot eject a backend, and one that received a later response
+outweighs all others. Without fresh observations, each gateway relies on its own.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from ingress.fleet_shedding.reports import Received, Report, decode, is_amount, is_name
 from ingress.membership.messages import MAX_NAME_LENGTH
 
-QUORUM: Final = 2  # observers: one may lie, or be unwell itself
-PROBERS_PER_ZONE: Final = 2  # that go on trying a backend that is down
-MAX_AGE_S: Final = 15.0  # longer than the policy's longest pause before a prober tries again
-MAX_BACKENDS: Final = 2000  # that have observations
-MAX_OBSERVERS: Final = 32  # of one backend; the oldest observation gives way
-MAX_OBSERVATIONS_SENT: Final = 10  # in a message, beside the load reports
+QUORUM: Final = 2  # observers; a single one may be wrong or unhealthy itself
+PROBERS_PER_ZONE: Final = 2  # gateways that keep sending requests to a backend that is down
+MAX_AGE_S: Final = 15.0  # exceeds the policy's longest delay before a prober retries
+MAX_BACKENDS: Final = 2000  # backends with observations
+MAX_OBSERVERS: Final = 32  # per backend; a new observer replaces the oldest observation
+MAX_OBSERVATIONS_SENT: Final = 10  # per message, in addition to the load reports
 MAX_DOWN_SHARE: Final = (
-    0.5  # of its backends: a gateway that holds more to be down is unwell itself
+    0.5  # of the backends; a gateway that finds more of them down is unhealthy itself
 )
-MAX_TRUSTED_LOCAL_HEALTH: Final = 1  # worst local health with which a gateway tells of backends
+MAX_TRUSTED_LOCAL_HEALTH: Final = 1  # worst local health at which a gateway reports failures
 
 
 class ObservedBackend(Protocol):
-    """What the policy holds of one backend, as far as it is read here. Times are seconds."""
+    """The part of the policy's state of a backend that this module reads. Times are in seconds."""
 
     consecutive_failures: int
     unreachable: bool
@@ -44,7 +44,7 @@
 
 
 class HealthObservation(Report, array_like=True, frozen=True, tag="look"):
-    """Whether one gateway found one backend down, `age_s` seconds before it was sent."""
+    """One gateway's observation of one backend, made `age_s` seconds before it was sent."""
 
     zone: str
     backend: str
@@ -52,7 +52,7 @@
     age_s: float
 
     def is_valid(self) -> bool:
-        """Whether a gateway may send this."""
+        """Returns whether all fields are in range."""
         return (
             self.has_valid_origin()
             and is_name(self.backend)
@@ -63,34 +63,34 @@
 
 @dataclass(slots=True)
 class HealthCounts:
-    """What happened since the start.
+    """Counts since the start.
 
     Attributes:
-        own_changes: Changes of what this gateway tells.
-        accepted: Observations of others that were newer.
-        rejected: Observations of one backend too many.
-        ejections: Backends that others' observations began to keep this gateway from.
-        times_prober: Times that it was one of those that go on trying.
+        own_changes: Changes to this gateway's own observations.
+        accepted: Observations of other gateways that were newer than the known ones.
+        rejected: Observations rejected because MAX_BACKENDS was reached.
+        ejections: Backends ejected because of the observations of the fleet.
+        prober_selections: Backends, summed over all ticks, of which this gateway was a prober.
     """
 
     own_changes: int = 0
     accepted: int = 0
     rejected: int = 0
     ejections: int = 0
-    times_prober: int = 0
+    prober_selections: int = 0
 
 
 _decoder: msgspec.msgpack.Decoder[HealthObservation] = msgspec.msgpack.Decoder(HealthObservation)
 
 
 def decode_observation(payload: bytes) -> HealthObservation | None:
-    """Returns a payload's observation, or None for what is none or what no gateway sends."""
+    """Returns the observation in a payload, or None if there is none or a field is out of range."""
     observation = decode(_decoder, payload)
     return observation if observation is not None and observation.is_valid() else None
 
 
 def choose_probers(backend: str, names: Iterable[str]) -> list[str]:
-    """Returns those of `names` that go on trying that backend, in whatever order they come."""
+    """Returns the probers of a backend among `names`, whose order does not matter."""
     return nlargest(
         PROBERS_PER_ZONE,
         names,
@@ -99,11 +99,12 @@
 
 
 class HealthGossip:
-    """The newest observation of each backend by each gateway, its own among them.
+    """The newest observation of each backend by each gateway, including this one.
 
-    `observations` is by backend and origin, `last_failures` the consecutive failures of each
-    backend when they were last looked at, and `ejected` the backends that this gateway is kept from
-    now.
+    Attributes:
+        observations: The observations by backend and origin.
+        last_failures: The consecutive failures of each backend at the last `observe_backends`.
+        ejected: The backends that this gateway currently avoids.
     """
 
     def __init__(self, origin: str, zone: str, incarnation: int) -> None:
@@ -116,25 +117,26 @@
         self.ejected: set[str] = set()
         self.counts = HealthCounts()
 
-    # What this gateway observes
+    # Own observations
 
     def observe_backends(
         self,
         now: float,
         backends: Mapping[str, ObservedBackend],
-        failures_that_eject: int,
+        ejection_threshold: int,
         local_health: int,
     ) -> None:
-        """Notes what the policy holds of the backends.
+        """Records this gateway's own observations from the policy's state of the backends.
 
-        A backend is down after `failures_that_eject` consecutive failures. In poor local health, or
-        with too many backends down, nothing new is told: the cause is likely this gateway's own.
+        A backend is down if it is unreachable or after `ejection_threshold` consecutive failures.
+        In poor local health, or with too many backends down, no new failure is recorded, since the
+        cause is likely this gateway itself.
         """
-        self._forget_unlisted(backends)
+        self._remove_unlisted(backends)
         down = {
             name
             for name, backend in backends.items()
-            if backend.unreachable or backend.consecutive_failures >= failures_that_eject
+            if backend.unreachable or backend.consecutive_failures >= ejection_threshold
         }
         is_trusted = local_health <= MAX_TRUSTED_LOCAL_HEALTH and len(down) <= max(
             1.0, MAX_DOWN_SHARE * len(backends)
@@ -147,13 +149,13 @@
             elif not backend.consecutive_failures and self._is_refuted(name, backend):
                 self._record_own(backend.last_response_at, name, False)
 
-    def _forget_unlisted(self, backends: Mapping[str, ObservedBackend]) -> None:
+    def _remove_unlisted(self, backends: Mapping[str, ObservedBackend]) -> None:
         for name in [name for name in self.last_failures if name not in backends]:
             del self.last_failures[name]
             self.observations.pop(name, None)
 
     def _is_refuted(self, name: str, backend: ObservedBackend) -> bool:
-        """Whether a response contradicts that the backend is down, and this was not told yet."""
+        """Returns whether a response refutes a failure and this is not recorded yet."""
         by_origin = self.observations.get(name, {})
         own = by_origin.get(self.origin)
         if own is not None and not own.report.is_down:
@@ -183,10 +185,10 @@
     def _is_full_for(self, backend: str) -> bool:
         return backend not in self.observations and len(self.observations) >= MAX_BACKENDS
 
-    # What others observe
+    # Observations of other gateways
 
     def merge(self, now: float, observation: HealthObservation) -> None:
-        """Takes another gateway's observation, however often and in whatever order it comes."""
+        """Merges another gateway's observation, which may arrive repeatedly and in any order."""
         if observation.origin == self.origin or observation.age_s > MAX_AGE_S:
             return
         if self._is_full_for(observation.backend):
@@ -202,17 +204,17 @@
         self.counts.accepted += 1
 
     def encode_newest(self, now: float) -> list[bytes]:
-        """Returns the youngest observations, to pass on."""
-        self._forget_old(now)
-        everything = [
+        """Returns the newest observations, encoded to be sent."""
+        self._remove_expired(now)
+        all_received = [
             received for by_origin in self.observations.values() for received in by_origin.values()
         ]
-        youngest = nlargest(
-            MAX_OBSERVATIONS_SENT, everything, key=lambda received: received.made_at
+        newest = nlargest(
+            MAX_OBSERVATIONS_SENT, all_received, key=lambda received: received.made_at
         )
-        return [received.encode(now) for received in youngest]
+        return [received.encode(now) for received in newest]
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for backend, by_origin in list(self.observations.items()):
             fresh = {
                 origin: received
@@ -224,7 +226,7 @@
             else:
                 del self.observations[backend]
 
-    # What follows
+    # Ejections
 
     def update_ejected(
         self,
@@ -233,10 +235,13 @@
         backends: Collection[str],
         zones: Mapping[str, str],
     ) -> tuple[str, ...]:
-        """Returns the listed backends that this gateway is kept from, in the order of their names.
+        """Returns the names of the backends that this gateway must avoid, sorted.
 
-        `alive` has the names of the other members that are reachable and `zones` the zones of those
-        that told them.
+        Args:
+            now: The current time in seconds.
+            alive: Names of the other members that are reachable.
+            backends: Names of the backends in the endpoint list.
+            zones: Zones by member, as far as they are known.
         """
         down = {
             name
@@ -247,25 +252,27 @@
         if down:
             own_zone = [self.origin, *(name for name in alive if zones.get(name) == self.zone)]
             probed = {name for name in down if self.origin in choose_probers(name, own_zone)}
-        kept_from = down - probed
-        self.counts.times_prober += len(probed)
-        self.counts.ejections += len(kept_from - self.ejected)
-        self.ejected = kept_from
-        return tuple(sorted(kept_from))
+        avoided = down - probed
+        self.counts.prober_selections += len(probed)
+        self.counts.ejections += len(avoided - self.ejected)
+        self.ejected = avoided
+        return tuple(sorted(avoided))
 
     def is_down(self, now: float, backend: str, alive: Collection[str]) -> bool:
-        """Whether enough reachable gateways found it down since it last answered one of them.
+        """Returns whether enough reachable gateways found it down after its last known response.
 
-        Observations of the own zone go before those of others, as a path may be broken for one zone
-        alone. Those of members that are not reachable count no more.
+        Observations from this gateway's zone take precedence, because a network path may be broken
+        for one zone only. Observations of unreachable members are ignored.
         """
         fresh = [
             received
             for origin, received in self.observations[backend].items()
             if now - received.made_at <= MAX_AGE_S and (origin == self.origin or origin in alive)
         ]
-        own_zone = [one for one in fresh if one.report.zone == self.zone]
+        own_zone = [entry for entry in fresh if entry.report.zone == self.zone]
         counted = own_zone or fresh
-        answered_at = max((one.made_at for one in counted if not one.report.is_down), default=0.0)
-        observers = sum(one.report.is_down and one.made_at > answered_at for one in counted)
+        responded_at = max(
+            (entry.made_at for entry in counted if not entry.report.is_down), default=0.0
+        )
+        observers = sum(entry.report.is_down and entry.made_at > responded_at for entry in counted)
         return observers >= QUORUM
--- a/ingress/fleet_shedding/load_reports.py
+++ b/ingress/fleet_shedding/load_reports.py
@@ -1,4 +1,4 @@
-"""What each instance tells the others of its load, and the newest report of each."""
+"""Load reports that instances exchange, and the newest report of each instance."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 from ingress.membership.messages import MAX_NAME_LENGTH
 
 MAX_ORIGINS: Final = 2000
-MAX_VALUE: Final = 1e9  # of any figure; more is no figure that an instance has
+MAX_VALUE: Final = 1e9  # of any field; no instance reaches it
 RETENTION_S: Final = 30.0  # older reports are dropped
 
 
 class LoadReport(Report, array_like=True, frozen=True):
     """The load of one instance.
 
-    Rates are per second: of first attempts and retries that clients asked for, and of those
-    forwarded. `utilization` is the part of its concurrency limit in use and `age_s` the time since
-    the report was made. `zone` was added later: older releases omit it and ignore it.
+    Attributes:
+        offered_rate: First attempts and retries requested by clients, per second.
+        admitted_rate: The part of the offered rate that was forwarded, per second.
+        utilization: The fraction of its concurrency limit in use.
+        age_s: The time since the report was made, in seconds.
+        zone: The zone of the instance. Older releases neither send nor read this field.
     """
 
     offered_rate: float
@@ -29,7 +32,7 @@
     zone: str = ""
 
     def is_valid(self) -> bool:
-        """Whether an instance may send this."""
+        """Returns whether all fields are in range."""
         amounts = (self.offered_rate, self.admitted_rate, self.utilization, self.age_s)
         return (
             self.has_valid_origin()
@@ -42,16 +45,16 @@
 
 
 def decode_report(payload: bytes) -> LoadReport | None:
-    """Returns a payload's load report, or None for what no instance sends."""
+    """Returns the load report in a payload, or None if there is none or a field is out of range."""
     report = decode(_decoder, payload)
     return report if report is not None and report.is_valid() else None
 
 
 class LoadReports:
-    """The newest report of each instance, its own among them.
+    """The newest report of each instance, including this one.
 
-    `rejected` counts payloads that are no report, and reports that are too old or one origin too
-    many.
+    `rejected` counts invalid payloads, expired reports, and reports of new origins beyond
+    MAX_ORIGINS.
     """
 
     def __init__(self, origin: str, incarnation: int, zone: str = "") -> None:
@@ -65,7 +68,7 @@
     def record_own(
         self, now: float, offered_rate: float, admitted_rate: float, utilization: float
     ) -> None:
-        """Sets what this instance tells of itself from now on."""
+        """Replaces this instance's own report."""
         self.sequence_number += 1
         report = LoadReport(
             self.origin,
@@ -80,7 +83,7 @@
         self.reports[self.origin] = Received(report, now)
 
     def merge(self, now: float, payloads: list[bytes]) -> None:
-        """Takes others' reports, however often and in whatever order they come."""
+        """Merges reports of other instances, which may arrive repeatedly and in any order."""
         for payload in payloads:
             report = decode_report(payload)
             if report is None or report.age_s > RETENTION_S or self._is_full_for(report.origin):
@@ -94,7 +97,7 @@
         return origin not in self.reports and len(self.reports) >= MAX_ORIGINS
 
     def encode_newest(self, now: float, limit: int) -> list[bytes]:
-        """Returns up to `limit` reports to pass on: its own, then the youngest."""
+        """Returns up to `limit` encoded reports to send: its own, then the newest of the others."""
         self.reports = {
             origin: received
             for origin, received in self.reports.items()
@@ -109,7 +112,7 @@
         return [received.encode(now) for received in chosen]
 
     def zones(self) -> dict[str, str]:
-        """Returns the zone of each instance that told it lately."""
+        """Returns the zones of the instances whose report has one."""
         return {
             origin: received.report.zone
             for origin, received in self.reports.items()
@@ -117,7 +120,7 @@
         }
 
     def fresh(self, now: float, max_age_s: float) -> list[LoadReport]:
-        """Returns the reports that are not older than `max_age_s` seconds."""
+        """Returns the reports that are at most `max_age_s` seconds old."""
         return [
             received.report
             for received in self.reports.values()
--- a/ingress/fleet_shedding/reports.py
+++ b/ingress/fleet_shedding/reports.py
@@ -1,7 +1,7 @@
-"""Reports that instances merge as state: they may come repeatedly, late and in any order.
+"""Base of the reports that instances merge; they may arrive repeatedly, late and in any order.
 
-Reports carry an age and not a time: every holder adds how long it held a report, so that no two
-clocks are compared.
+A report carries its age instead of a timestamp: each instance that forwards it adds the time for
+which it held the report, so that clocks of two machines are never compared.
 """
 
 from __future__ import annotations
@@ -18,9 +18,10 @@
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """Begins each kind of report. The order and the types of the fields are the wire.
+    """The leading fields of every kind of report.
 
-    The incarnation and the sequence number order the reports of one origin.
+    The order and the types of the fields are the wire format. The incarnation and the sequence
+    number order the reports of one origin.
     """
 
     origin: str
@@ -28,12 +29,12 @@
     sequence_number: int
 
     def is_newer_than(self, other: Report) -> bool:
-        """Whether this report replaces another one of the same origin."""
+        """Returns whether this report replaces another one of the same origin."""
         version = (self.incarnation, self.sequence_number)
         return version > (other.incarnation, other.sequence_number)
 
     def has_valid_origin(self) -> bool:
-        """Whether the fields of every report are in range."""
+        """Returns whether the fields common to all reports are in range."""
         return (
             is_name(self.origin) and 0 <= self.incarnation < 1 << 62 and self.sequence_number >= 0
         )
@@ -44,19 +45,19 @@
 
 @dataclass(slots=True)
 class Received(Generic[ReportT]):
-    """A report, and the holder's time at which it was made."""
+    """A report, and the time at which it was made by the clock of this instance."""
 
     report: ReportT
     made_at: float
 
     def encode(self, now: float) -> bytes:
-        """Returns the report with its present age, as a payload of the membership protocol."""
+        """Returns the report with its current age, encoded as a membership payload."""
         age_s = round(max(0.0, now - self.made_at), 3)
         return _encoder.encode(msgspec.structs.replace(self.report, age_s=age_s))
 
 
 def decode(decoder: msgspec.msgpack.Decoder[ReportT], payload: bytes) -> ReportT | None:
-    """Returns the report in a payload, or None if it holds none of that kind."""
+    """Returns the report in a payload, or None if the payload is not of that kind."""
     try:
         return decoder.decode(payload)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -64,10 +65,10 @@
 
 
 def is_name(text: str) -> bool:
-    """Whether a text may name an instance or a backend."""
+    """Returns whether a text is a valid name of an instance or a backend."""
     return 0 < len(text) <= MAX_NAME_LENGTH
 
 
-def is_amount(value: float, most: float) -> bool:
-    """Whether a value is a number from 0 to `most`."""
-    return isfinite(value) and 0.0 <= value <= most
+def is_amount(value: float, maximum: float) -> bool:
+    """Returns whether a value is a finite number from 0 to `maximum`."""
+    return isfinite(value) and 0.0 <= value <= maximum
--- a/ingress/fleet_shedding/shed_fraction.py
+++ b/ingress/fleet_shedding/shed_fraction.py
@@ -1,15 +1,15 @@
-"""One shed fraction for the whole fleet, and how far one instance may move it.
-
-It is computed from all that is offered and all that is admitted, with headroom to admit more. Each
-instance sheds at least that fraction of the one shed order, and bounds its attempts in flight by
-its own concurrency limiter besides. The limiter reacts at once; the fleet's fraction is late by a
-second and steady, where one instance sees a handful of attempts and its own fraction jumps. Where
-too few reports are fresh, each instance goes by its own.
-
-Any multiple of nothing is nothing: a fleet that admitted nothing for a while, as there was no
-backend or all limiters were full at once, would shed all for ever. So nothing is shed by this
-fraction from when the limiters were idle for a time until they are in use again; the limiters
-reject what is too much meanwhile.
+"""The shed fraction of the whole fleet, and a bound on the influence of one instance on it.
+
+The fraction is computed from the fleet's total offered and admitted load, with headroom to admit
+more. Each instance sheds at least that fraction in the common shed order, and also bounds its
+attempts in flight with its own concurrency limiter. The limiter reacts immediately. The fleet's
+fraction lags by a second but is steady, whereas one instance handles few attempts and its own
+fraction fluctuates. With too few fresh reports, each instance uses its own fraction.
+
+Headroom multiplies the admitted load, so a fleet that temporarily admitted nothing, because there
+was no backend or all limiters were full at once, would shed everything forever. Therefore, once
+the limiters have been idle for IDLE_TIME_S, the fraction is 0 until they are in use again; the
+limiters reject excess load in the meantime.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 from ingress.fleet_shedding.load_reports import LoadReport
 
-MAX_WEIGHT_RATIO: Final = 2.0  # to the mean offered rate of the others: no instance weighs more
-MIN_HEADROOM: Final = 1.4  # times what is admitted may be, at HIGH_UTILIZATION and above
-MAX_HEADROOM: Final = 3.0  # times what is admitted may be, up to LOW_UTILIZATION
+MAX_WEIGHT_RATIO: Final = 2.0  # an instance's weight to the mean offered rate of the others
+MIN_HEADROOM: Final = 1.4  # multiple of the admitted load, at HIGH_UTILIZATION and above
+MAX_HEADROOM: Final = 3.0  # multiple of the admitted load, up to LOW_UTILIZATION
 HIGH_UTILIZATION: Final = 0.9
 LOW_UTILIZATION: Final = 0.5
-IDLE_UTILIZATION: Final = 0.05  # below it nothing stands in the way of admitting more
-IDLE_TIME_S: Final = 2.0  # as long as a jam's last responses take, and as reports are old
+IDLE_UTILIZATION: Final = 0.05  # below it, nothing prevents the limiters from admitting more
+IDLE_TIME_S: Final = 2.0  # covers the last responses of an overload and the age of reports
 MAX_REPORT_AGE_S: Final = 2.0
-MIN_REPORTS: Final = 3  # fewer are no fleet
+MIN_REPORTS: Final = 3  # a fraction over fewer instances is not meaningful
 MIN_REPORTING_SHARE: Final = 0.3  # of the members
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """The fraction to shed, the median utilization, and the number of reports that they rest on."""
+    """The fraction to shed, the median utilization, and the number of reports used."""
 
     shed_fraction: float
     utilization: float
@@ -43,9 +43,11 @@
 
 
 def compute_fleet_load(reports: Sequence[LoadReport], members: int) -> FleetLoad | None:
-    """Returns the fleet's load, by the fresh reports and the number of members, this one included.
+    """Returns the fleet's load, or None if too few members reported or no load is offered.
 
-    None where too few members reported, or where nothing is offered.
+    Args:
+        reports: The fresh reports.
+        members: Number of members, including this one.
     """
     if len(reports) < max(MIN_REPORTS, MIN_REPORTING_SHARE * members):
         return None
@@ -71,13 +73,13 @@
 
 
 class IdleDetector:
-    """Whether the limiters were idle and are not in use again; times are seconds."""
+    """Detects that the limiters were idle and are not in use again yet. Times are in seconds."""
 
     def __init__(self) -> None:
         self.idle_since = inf
 
     def update(self, now: float, utilization: float) -> bool:
-        """Takes the present utilization; returns whether the fleet may shed nothing."""
+        """Processes the current utilization and returns whether the shed fraction must be 0."""
         if utilization >= LOW_UTILIZATION:
             self.idle_since = inf
         elif utilization < IDLE_UTILIZATION:
@@ -86,9 +88,9 @@
 
 
 def bounded_weights(values: Sequence[float]) -> list[float]:
-    """Returns each value, but none above MAX_WEIGHT_RATIO times the mean of the others.
+    """Returns the values, each capped at MAX_WEIGHT_RATIO times the mean of the others.
 
-    This bounds what one false report can do.
+    This bounds the effect of a single false report.
     """
     total = sum(values)
     others = max(1, len(values) - 1)
@@ -96,21 +98,27 @@
 
 
 def weighted_median(sorted_values: Sequence[tuple[float, float]], total_weight: float) -> float:
-    """Returns the value, of (value, weight) in order, at which half of the weight is reached.
+    """Returns the value at which half of the total weight is reached.
 
-    One false value stays between what others tell, which a mean would not ensure.
+    Unlike a mean, a weighted median with a single false report stays within the range of the
+    other reports.
+
+    Args:
+        sorted_values: Pairs of value and weight, in ascending order.
+        total_weight: Sum of the weights.
     """
-    passed = 0.0
+    cumulative_weight = 0.0
     for value, weight in sorted_values:
-        passed += weight
-        if passed >= total_weight / 2:
+        cumulative_weight += weight
+        if cumulative_weight >= total_weight / 2:
             return value
     return sorted_values[-1][0]
 
 
 def max_deviation(reports: int, headroom: float) -> float:
-    """Returns how far one liar can move the shed fraction, where the others offer alike.
+    """Returns the most by which one false report moves the shed fraction.
 
-    It does so by its part of the weight; the utilization, a median, stays among theirs.
+    Assumes that all other instances report the same offered rate. A false report acts through its
+    share of the weight; the median utilization stays within the range of the others.
     """
     return headroom * MAX_WEIGHT_RATIO / (reports - 1 + MAX_WEIGHT_RATIO)
--- a/tests/test_health_gossip.py
+++ b/tests/test_health_gossip.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from ingress.fleet_shedding import health_gossip as module
-from ingress.fleet_shedding.gossip_bridge import FAILURES_THAT_EJECT
+from ingress.fleet_shedding.gossip_bridge import EJECTION_THRESHOLD
 from ingress.fleet_shedding.health_gossip import (
     MAX_AGE_S,
     MAX_BACKENDS,
@@ -64,15 +64,15 @@
 def is_left_alone(gossip: HealthGossip, now: float = 10.0, alive: list[str] | None = None) -> bool:
     """Whether it is kept from s1, or one of its probers, which it is only while s1 is down."""
     others = [name for name in (NAMES if alive is None else alive) if name != gossip.origin]
-    before = gossip.counts.times_prober
+    before = gossip.counts.prober_selections
     return (
         bool(gossip.update_ejected(now, others, ["s1"], ZONES))
-        or gossip.counts.times_prober > before
+        or gossip.counts.prober_selections > before
     )
 
 
 def test_the_failures_that_eject_are_as_many_as_in_the_policy() -> None:
-    assert FAILURES_THAT_EJECT == MAX_CONSECUTIVE_FAILURES
+    assert EJECTION_THRESHOLD == MAX_CONSECUTIVE_FAILURES
 
 
 @given(
@@ -278,7 +278,7 @@
         if heard:
             counts = [gateway.bridge.health_gossip.counts for gateway in simulation.gateways]  # type: ignore[attr-defined]
             assert sum(c.ejections > 0 for c in counts) > 25
-            assert sum(c.times_prober > 0 for c in counts) >= 4
+            assert sum(c.prober_selections > 0 for c in counts) >= 4
     assert failed[False] > 100, failed
     assert failed[True] < 0.5 * failed[False], failed
 
