--- a/ingress/membership/__init__.py
+++ b/ingress/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Membership by gossip: which instances there are, and which of them are alive.
+"""Gossip-based group membership: the instances of the fleet and whether each of them is alive.
 
-After the public descriptions of SWIM (Das, Gupta and Motivala, 2002) and Lifeguard (Dadgar,
-Phillips and Currey, 2017). No I/O, no clock: a transport brings datagrams and the time.
+Implements the public descriptions of SWIM (Das, Gupta and Motivala, 2002) and Lifeguard (Dadgar,
+Phillips and Currey, 2017). Does no I/O and reads no clock: a transport passes in datagrams and the
+time.
 """
--- a/ingress/membership/failure_detector.py
+++ b/ingress/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector component of SWIM: direct and indirect probes, and the local health."""
+"""The failure detector component of SWIM: direct and indirect probes, and local health."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 Address = tuple[str, int]
 
 MAX_RELAYS: Final = 256
-PROBE_DEADLINE_TIMEOUTS: Final = 2.5  # probe timeouts, indirect probes included
+PROBE_DEADLINE_TIMEOUTS: Final = 2.5  # probe timeouts, including indirect probes
 
 
 class OutgoingMessage(NamedTuple):
-    """A message, and where to send it."""
+    """A message and its destination."""
 
     address: Address
     message: Message
 
 
 class MakeMessage(Protocol):
-    """Makes a message, with the updates that are to be passed on to `receiver`."""
+    """Creates a message with piggybacked updates for `receiver`."""
 
     def __call__(
         self,
@@ -35,12 +35,12 @@
         receiver: Member | None = None,
         target: str = "",
     ) -> Message:
-        """Returns the message; `target` is whom a PING_REQ asks to ping."""
+        """Returns the message; `target` is the member that a PING_REQ asks to ping."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """A ping without an ack yet. `nacks` counts helpers that had no ack from the target either."""
+    """A ping without an ack yet. `nacks` counts helpers that received no ack either."""
 
     target: str
     started_at: float
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Relay:
-    """A ping on a requester's behalf, by the sequence number that the requester gave it."""
+    """A ping on behalf of a requester, with the requester's own sequence number."""
 
     sequence_number: int
     requester: Address
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class ProbeCounts:
-    """What happened since the start."""
+    """Counts since the start."""
 
     probes: int = 0
     missed_acks: int = 0
@@ -68,12 +68,16 @@
 class FailureDetector:
     """Probes the members of a table in random order.
 
-    `local_health` is Lifeguard's local health multiplier: 0 is well, each missed ack adds one.
+    `local_health` is Lifeguard's local health multiplier: 0 is healthy, and each missed ack that is
+    blamed on this member adds 1.
 
     Args:
-        table: The other members. rng: The source of all random choices. settings: Timing and
-        bounds. make_message: Makes the messages. probe_failed: Called with the time and a member
-        that answered neither directly nor indirectly.
+        table: The other members.
+        rng: The source of all random choices.
+        settings: Timing and bounds.
+        make_message: Creates the messages to send.
+        on_probe_failed: Called with the time and a member that acknowledged neither the direct
+            ping nor an indirect one.
     """
 
     def __init__(
@@ -82,37 +86,37 @@
         rng: Random,
         settings: SwimSettings,
         make_message: MakeMessage,
-        probe_failed: Callable[[float, Member], None],
+        on_probe_failed: Callable[[float, Member], None],
     ) -> None:
         self.table = table
         self.rng = rng
         self.settings = settings
         self.make_message = make_message
-        self.probe_failed = probe_failed
+        self.on_probe_failed = on_probe_failed
         self.sequence_number = rng.randrange(1 << 48)
-        self.probe_order: list[str] = []  # the last is probed next
+        self.probe_order: list[str] = []  # the last one is probed next
         self.probes: dict[int, Probe] = {}
         self.relays: dict[int, Relay] = {}
         self.local_health = 0
         self.counts = ProbeCounts()
 
     def reset_after_stall(self) -> None:
-        """Drops what was in flight while this process stood still, and assumes the worst health."""
+        """Drops the probes in flight when this process stalled, and assumes the worst health."""
         self.local_health = self.settings.max_local_health
         self.probes.clear()
         self.relays.clear()
 
     def adjust_local_health(self, change: int) -> None:
-        """Adds to the local health multiplier, within its bounds."""
+        """Adds `change` to the local health multiplier, within its bounds."""
         health = self.local_health + change
         self.local_health = max(0, min(self.settings.max_local_health, health))
 
     def add_member(self, name: str) -> None:
-        """Adds a new member at a random place of this round."""
+        """Inserts a new member at a random position in the current round."""
         self.probe_order.insert(self.rng.randint(0, len(self.probe_order)), name)
 
     def probe_next(self, now: float) -> list[OutgoingMessage]:
-        """Returns the ping of the next member in the round, if there is one."""
+        """Returns a ping for the next member in the round, if there is one."""
         if not self.probe_order:
             self._begin_round()
         while self.probe_order:
@@ -128,30 +132,30 @@
     def _begin_round(self) -> None:
         self.probe_order = [member.name for member in self.table.reachable()]
         self.rng.shuffle(self.probe_order)
-        # A dead member is probed now and then, so that the sides of a healed partition merge again.
+        # Probes one dead member per round, so that the sides of a healed partition merge again.
         dead = self.table.dead()
         if dead:
             self.probe_order.insert(0, self.rng.choice(dead).name)
 
     def check_probes(self, now: float) -> list[OutgoingMessage]:
-        """Returns requests for indirect probes, and reports the probes that failed."""
+        """Returns requests for indirect probes, and calls `on_probe_failed` for failed probes."""
         out: list[OutgoingMessage] = []
         period_s = self.settings.protocol_period_s
         timeout_s = self.settings.probe_timeout_s * (1 + self.local_health / 2)
         for sequence_number, probe in list(self.probes.items()):
             member = self.table.get(probe.target)
-            waited_s = now - probe.started_at
+            elapsed_s = now - probe.started_at
             if member is None or member.state >= MemberState.DEAD:
-                if waited_s > period_s:
+                if elapsed_s > period_s:
                     del self.probes[sequence_number]
-            elif not probe.is_indirect and waited_s > timeout_s:
+            elif not probe.is_indirect and elapsed_s > timeout_s:
                 probe.is_indirect = True
                 out += self._probe_indirectly(sequence_number, probe.target)
-            elif waited_s > max(period_s, PROBE_DEADLINE_TIMEOUTS * timeout_s):
+            elif elapsed_s > max(period_s, PROBE_DEADLINE_TIMEOUTS * timeout_s):
                 del self.probes[sequence_number]
                 self.counts.missed_acks += 1
-                self._blame_local_health(probe)
-                self.probe_failed(now, member)
+                self._penalize_local_health(probe)
+                self.on_probe_failed(now, member)
         return out
 
     def _probe_indirectly(self, sequence_number: int, target: str) -> list[OutgoingMessage]:
@@ -162,16 +166,15 @@
             out.append(OutgoingMessage(helper.address, request))
         return out
 
-    def _blame_local_health(self, probe: Probe) -> None:
-        # Fewer nacks than helpers were asked for tell that it is this member whose messages are
-        # lost.
+    def _penalize_local_health(self, probe: Probe) -> None:
+        # Fewer nacks than helpers asked indicate that this member's own messages are lost.
         helpers = max(0, len(self.table.reachable()) - 1)
         expected_nacks = min(self.settings.indirect_probes, helpers)
         if probe.nacks < expected_nacks or not expected_nacks:
             self.adjust_local_health(1)
 
     def relay_ping(self, now: float, requester: Address, request: Message) -> list[OutgoingMessage]:
-        """Returns the ping that a PING_REQ asks for, unless its target is not known."""
+        """Returns the ping that a PING_REQ asks for, if its target is known and a relay is free."""
         target = self.table.get(request.target)
         if target is None or len(self.relays) >= MAX_RELAYS:
             return []
@@ -181,8 +184,8 @@
         ping = self.make_message(MessageKind.PING, sequence_number, target)
         return [OutgoingMessage(target.address, ping)]
 
-    def take_ack(self, sequence_number: int) -> list[OutgoingMessage]:
-        """Ends a probe, or returns the ack for the member that asked for the ping."""
+    def handle_ack(self, sequence_number: int) -> list[OutgoingMessage]:
+        """Completes a probe, or returns the ack for the member that requested the ping."""
         if relay := self.relays.pop(sequence_number, None):
             ack = self.make_message(MessageKind.ACK, relay.sequence_number)
             return [OutgoingMessage(relay.requester, ack)]
@@ -190,13 +193,13 @@
             self.adjust_local_health(-1)
         return []
 
-    def take_nack(self, sequence_number: int) -> None:
-        """Notes that a helper had no ack either."""
+    def handle_nack(self, sequence_number: int) -> None:
+        """Records that a helper received no ack either."""
         if probe := self.probes.get(sequence_number):
             probe.nacks += 1
 
     def expire_relays(self, now: float) -> list[OutgoingMessage]:
-        """Returns the nacks for pings on others' behalf that had no ack in time."""
+        """Returns nacks for the pings on behalf of others that were not acknowledged in time."""
         out = []
         for sequence_number, relay in list(self.relays.items()):
             if now >= relay.deadline:
--- a/ingress/membership/member_state.py
+++ b/ingress/membership/member_state.py
@@ -1,8 +1,8 @@
-"""Which update of a member's state supersedes which, as a table.
+"""The member states, and a table of the updates that supersede a state.
 
-Updates arrive repeatedly, late and in any order. Whether one is applied depends on the two states
-and the two incarnations alone, so that all members that received the same updates hold the same
-state. A process that restarts under its name has a higher incarnation than all before.
+Updates arrive repeatedly, late and in any order. Whether an update is applied depends only on the
+two states and the two incarnations, so that all members that received the same updates have the
+same state. A process that restarts under its name has a higher incarnation than all earlier ones.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; the numbers are on the wire.
+    """State of a member; the values are sent on the wire.
 
-    DEAD: did not refute a suspicion in time. LEFT: shut down gracefully. Both end an incarnation.
+    A member is DEAD if it did not refute a suspicion in time, and LEFT if it shut down gracefully.
+    Both states end an incarnation.
     """
 
     ALIVE = 1
@@ -24,8 +25,8 @@
     LEFT = 4
 
 
-# (current, received): how the received incarnation must compare to the current one. SWIM, section
-# 4.2, with LEFT added.
+# For (current, received) states: the comparison that the received incarnation must satisfy against
+# the current one. SWIM, section 4.2, with LEFT added.
 PRECEDENCE: Final = {
     (MemberState.ALIVE, MemberState.ALIVE): gt,
     (MemberState.ALIVE, MemberState.SUSPECT): ge,
@@ -52,7 +53,7 @@
     current: MemberState,
     current_incarnation: int,
 ) -> bool:
-    """Whether a received state replaces the current one."""
+    """Returns whether a received state replaces the current one."""
     compare = PRECEDENCE[current, received]
     result: bool = compare(received_incarnation, current_incarnation)
     return result
--- a/ingress/membership/member_table.py
+++ b/ingress/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The other members as one member sees them."""
+"""One member's view of the other members."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Member:
-    """Another member; times are seconds of the caller's clock.
+    """Another member. Times are in seconds of the caller's clock.
 
-    `max_format` is the newest datagram format that it understands. While it is SUSPECT,
-    `suspected_by` has the members that suspect it by themselves, and it is declared dead at
-    `suspicion_ends_at`.
+    `max_format` is the newest datagram format that the member understands. While it is SUSPECT,
+    `suspected_by` has the names of the members whose own probes of it failed, and it is declared
+    dead at `suspicion_ends_at`.
     """
 
     __slots__ = (
@@ -34,15 +34,15 @@
         self.apply(update, now)
 
     def apply(self, update: MemberUpdate, now: float) -> None:
-        """Takes over what an update says of the member."""
+        """Replaces the member's state with that of an update."""
         self.address = (update.host, update.port)
         self.state = MemberState(update.state)
         self.incarnation = update.incarnation
         self.max_format = update.max_format
         self.changed_at = now
 
-    def update_as(self, state: MemberState, suspected_by: str = "") -> MemberUpdate:
-        """Returns an update that says that its current incarnation is in that state."""
+    def update_with_state(self, state: MemberState, suspected_by: str = "") -> MemberUpdate:
+        """Returns an update that puts the member's current incarnation into `state`."""
         host, port = self.address
         return MemberUpdate(
             self.name, host, port, int(state), self.incarnation, self.max_format, suspected_by
@@ -52,8 +52,8 @@
 class MemberTable:
     """The members by name, in the order in which they became known.
 
-    `not_alive` has the names of those that are not ALIVE, as keys in the order in which they ceased
-    to be.
+    The keys of `not_alive` are the names of the members that are not ALIVE, in the order in which
+    they left that state.
     """
 
     def __init__(self) -> None:
@@ -64,18 +64,18 @@
         return len(self.members)
 
     def get(self, name: str) -> Member | None:
-        """Returns the member of that name, if it is known."""
+        """Returns the member with that name, or None if it is unknown."""
         return self.members.get(name)
 
     def add(self, update: MemberUpdate, now: float) -> Member:
-        """Adds a member that was not known, as ALIVE whatever the update says, and returns it."""
+        """Adds an unknown member, as ALIVE regardless of the update's state, and returns it."""
         member = Member(update, now)
         member.state = MemberState.ALIVE
         self.members[update.name] = member
         return member
 
     def apply(self, member: Member, update: MemberUpdate, now: float) -> None:
-        """Takes over an update that supersedes what is held of the member."""
+        """Applies an update that supersedes the member's current state."""
         member.apply(update, now)
         if member.state is MemberState.ALIVE:
             self.not_alive.pop(member.name, None)
@@ -83,7 +83,7 @@
             self.not_alive[member.name] = None
 
     def remove(self, name: str) -> None:
-        """Forgets a member that is not alive."""
+        """Removes a member that is not ALIVE."""
         del self.members[name]
         del self.not_alive[name]
 
@@ -101,10 +101,10 @@
         return [member for member in members if member.state is MemberState.DEAD]
 
     def not_alive_members(self) -> list[Member]:
-        """Returns the members that are not ALIVE, as a list of its own."""
+        """Returns a new list of the members that are not ALIVE."""
         return [self.members[name] for name in self.not_alive]
 
     def random_alive(self, rng: Random, count: int, excluded: str = "") -> list[Member]:
-        """Returns up to `count` ALIVE members drawn at random, without the excluded one."""
-        found = [member for member in self.alive() if member.name != excluded]
-        return rng.sample(found, min(count, len(found)))
+        """Returns up to `count` random ALIVE members, without the one named `excluded`."""
+        candidates = [member for member in self.alive() if member.name != excluded]
+        return rng.sample(candidates, min(count, len(candidates)))
--- a/ingress/membership/messages.py
+++ b/ingress/membership/messages.py
@@ -1,8 +1,8 @@
-"""Messages of the membership protocol and their datagrams: bounded, versioned and authenticated.
+"""Messages of the membership protocol, in bounded, versioned and authenticated datagrams.
 
-A datagram is one byte of format, one byte that names the key, a body (MessagePack) and 16 bytes of
-keyed BLAKE2b (RFC 7693) over all before them. Replay is harmless: an answer names the sequence
-number of its question, and updates count by their incarnation alone.
+A datagram consists of one byte for the format, one byte for the key id, a MessagePack body, and 16
+bytes of keyed BLAKE2b (RFC 7693) over all preceding bytes. Replayed datagrams are harmless: a reply
+carries the sequence number of its request, and updates are ordered by their incarnation alone.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from ingress.membership.member_state import MemberState
 
 FORMAT_VERSION: Final = 1
-MAX_DATAGRAM_BYTES: Final = 1200  # passes any path without fragmentation
+MAX_DATAGRAM_BYTES: Final = 1200  # avoids fragmentation on any path
 HEADER_BYTES: Final = 2
 MAC_BYTES: Final = 16
-MAX_UPDATES: Final = 24  # in a message
-MAX_PAYLOADS: Final = 24  # in a message
+MAX_UPDATES: Final = 24  # per message
+MAX_PAYLOADS: Final = 24  # per message
 MAX_PAYLOAD_BYTES: Final = 512
 MAX_NAME_LENGTH: Final = 64  # characters
 MIN_KEY_BYTES: Final = 16
@@ -30,10 +30,10 @@
 
 
 class MessageKind(IntEnum):
-    """What a message is; the numbers are on the wire.
+    """Kind of a message; the values are sent on the wire.
 
-    PING_REQ asks for a ping on the sender's behalf, which a NACK answers if no ack came in time.
-    PULL_STATE asks for all that a member knows, which PUSH_STATE brings.
+    PING_REQ requests a ping on behalf of the sender; the reply is a NACK if no ack arrives in time.
+    PULL_STATE requests the full state of a member, which it returns in PUSH_STATE messages.
     """
 
     PING = 1
@@ -46,14 +46,15 @@
 
 
 class MalformedMessageError(Exception):
-    """A datagram that no member sends; the text says why, and contains no secret."""
+    """An invalid datagram. The text gives the reason and contains no secret."""
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """The state of one incarnation of a member. The order and the types of the fields are the wire.
+    """The state of one incarnation of a member.
 
-    `max_format` is the newest datagram format that the member understands. `suspected_by` names the
-    member that suspects it by its own probes.
+    The order and the types of the fields are the wire format. `max_format` is the newest datagram
+    format that the member understands. `suspected_by` is the name of the member whose own probes
+    of it failed.
     """
 
     name: str
@@ -66,10 +67,10 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """One message. The order and the types of the fields are the wire.
+    """One message. The order and the types of the fields are the wire format.
 
-    `sequence_number` links an answer to its question, `target` names whom a PING_REQ asks to ping,
-    and `payloads` are an application's bytes, which this package does not read.
+    `sequence_number` matches a reply to its request, `target` is the name of the member that a
+    PING_REQ asks to ping, and `payloads` are application data that this package does not interpret.
     """
 
     kind: int
@@ -81,28 +82,28 @@
 
 
 class Codec:
-    """Encodes and authenticates datagrams.
+    """Encodes, decodes and authenticates datagrams.
 
-    Datagrams made with any of the keys are accepted, so that a key can be replaced on one member
-    after another.
+    Accepts datagrams authenticated with any of the keys, so that keys can be rotated one member at
+    a time.
 
     Args:
-        keys: The keys by their id, from 0 to 255.
+        keys: The keys by id, from 0 to 255.
         active_key_id: The id of the key to encode with.
 
     Raises:
-        ValueError: A key's id or length is out of range, or there is no active key.
+        ValueError: The id or the length of a key is out of range, or the active key is missing.
     """
 
     def __init__(self, keys: Mapping[int, bytes], active_key_id: int) -> None:
         if active_key_id not in keys:
-            raise ValueError(f"key {active_key_id} is not among the keys")
+            raise ValueError(f"key {active_key_id}: active key is missing")
         for key_id, key in keys.items():
             if not 0 <= key_id <= 255:
-                raise ValueError(f"key {key_id}: a key's id is from 0 to 255")
+                raise ValueError(f"key {key_id}: id must be from 0 to 255")
             if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
                 raise ValueError(
-                    f"key {key_id}: {len(key)} bytes, not {MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
+                    f"key {key_id}: {len(key)} bytes, must be {MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
                 )
         self.keys = dict(keys)
         self.active_key_id = active_key_id
@@ -112,11 +113,10 @@
     def encode(self, message: Message) -> bytes:
         """Returns the datagram of a message.
 
-        What does not fit is removed from the message, payloads before updates and the last of them
-        first.
+        If the message does not fit, removes payloads and then updates from it, the last ones first.
 
         Raises:
-            ValueError: The message is too long without payloads and updates.
+            ValueError: The message is too long even without payloads and updates.
         """
         while True:
             data = bytes((FORMAT_VERSION, self.active_key_id)) + self._encoder.encode(message)
@@ -127,29 +127,29 @@
             elif message.updates:
                 message.updates.pop()
             else:
-                raise ValueError("a message without updates is longer than a datagram")
+                raise ValueError("message without updates is too long for a datagram")
 
     def decode(self, data: bytes) -> Message:
-        """Returns the message of a datagram, of which nothing is read before it is authenticated.
+        """Returns the message of a datagram; authenticates the datagram before parsing its body.
 
         Raises:
-            MalformedMessageError: No member that has a key sends this.
+            MalformedMessageError: The datagram is not authentic, or its content is invalid.
         """
         if not HEADER_BYTES + MAC_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
-            raise MalformedMessageError(f"its length of {len(data)} bytes is out of range")
+            raise MalformedMessageError(f"datagram length out of range: {len(data)} bytes")
         if data[0] != FORMAT_VERSION:
-            raise MalformedMessageError(f"format {data[0]} is not known")
+            raise MalformedMessageError(f"format {data[0]} is unknown")
         key = self.keys.get(data[1])
         if key is None:
-            raise MalformedMessageError(f"key {data[1]} is not known")
+            raise MalformedMessageError(f"key {data[1]} is unknown")
         signed = data[:-MAC_BYTES]
         mac = data[-MAC_BYTES:]
         if not compare_digest(mac, _mac(signed, key)):
-            raise MalformedMessageError("its authentication code is wrong")
+            raise MalformedMessageError("invalid authentication code")
         try:
             message = self._decoder.decode(signed[HEADER_BYTES:])
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            raise MalformedMessageError(f"its body is no message: {type(error).__name__}") from None
+            raise MalformedMessageError(f"invalid message body: {type(error).__name__}") from None
         validate(message)
         return message
 
@@ -159,25 +159,25 @@
 
 
 def validate(message: Message) -> None:
-    """Checks a message's values, which a faulty member that has the key may send.
+    """Checks the values of a message, since a faulty member that has the key may send any value.
 
     Raises:
         MalformedMessageError: A value is out of range.
     """
     if not MessageKind.PING <= message.kind <= MessageKind.LEAVE:
-        raise MalformedMessageError(f"kind {message.kind} is not known")
+        raise MalformedMessageError(f"message kind {message.kind} is unknown")
     if not 0 <= message.sequence_number < 1 << 63:
-        raise MalformedMessageError("the sequence number is out of range")
+        raise MalformedMessageError("sequence number out of range")
     if not _is_name(message.sender) or len(message.target) > MAX_NAME_LENGTH:
-        raise MalformedMessageError("a name is out of range")
+        raise MalformedMessageError("length of sender or target name out of range")
     if len(message.updates) > MAX_UPDATES:
         raise MalformedMessageError(f"more than {MAX_UPDATES} updates")
     if len(message.payloads) > MAX_PAYLOADS:
         raise MalformedMessageError(f"more than {MAX_PAYLOADS} payloads")
     if not all(map(_is_valid_update, message.updates)):
-        raise MalformedMessageError("an update is out of range")
+        raise MalformedMessageError("value in an update out of range")
     if any(len(payload) > MAX_PAYLOAD_BYTES for payload in message.payloads):
-        raise MalformedMessageError(f"a payload is longer than {MAX_PAYLOAD_BYTES} bytes")
+        raise MalformedMessageError(f"payload longer than {MAX_PAYLOAD_BYTES} bytes")
 
 
 def _is_name(text: str) -> bool:
--- a/ingress/membership/swim.py
+++ b/ingress/membership/swim.py
@@ -1,8 +1,9 @@
 """The membership protocol of one member: failure detection and dissemination.
 
-Takes the time and messages and returns messages, after SWIM with the three extensions of Lifeguard:
-a member in poor local health waits longer before it suspects others; a suspicion lasts the longer
-the fewer members confirm it; and a suspected member is told so first, so that it can refute.
+A state machine that takes messages and the time and returns messages. It implements SWIM with the
+three extensions of Lifeguard: a member in poor local health waits longer before it suspects others;
+a suspicion lasts longer the fewer members confirm it; and a suspected member is notified in the
+next message to it, so that it can refute the suspicion.
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
 from ingress.membership.settings import SwimSettings
 
 UPDATES_PER_MESSAGE: Final = MAX_UPDATES // 2
-MAX_RECEIVED_PAYLOADS: Final = 4 * MAX_PAYLOADS  # older ones are dropped
-MAX_STATE_MESSAGES: Final = 100  # in answer to one PULL_STATE
-PULL_INTERVAL_ALONE_S: Final = 1.0  # while no other member is known
-PERIODS_WITHOUT_SUSPICION: Final = 2.0  # after a stall
-PERIODS_TO_RECOVER: Final = 4.0  # after a stall, until what is held is current again
+MAX_RECEIVED_PAYLOADS: Final = 4 * MAX_PAYLOADS  # the oldest are dropped
+MAX_STATE_MESSAGES: Final = 100  # per reply to a PULL_STATE
+PULL_INTERVAL_ALONE_S: Final = 1.0  # while no other member is reachable
+PERIODS_WITHOUT_SUSPICION: Final = 2.0  # protocol periods after a stall
+PERIODS_TO_RECOVER: Final = 4.0  # protocol periods after a stall until the state is current again
 
 
 @dataclass(slots=True)
 class SwimCounts:
-    """What happened since the start; the detector counts its probes."""
+    """Counts since the start; the failure detector counts its probes separately."""
 
     sent: int = 0
     received: int = 0
@@ -48,15 +49,19 @@
 
 
 class SwimProtocol:
-    """One member's state machine; times are seconds of the caller's clock.
+    """The protocol's state machine for one member. Times are in seconds of the caller's clock.
 
-    Whoever uses it sets `payloads`, which go with each message, and takes `received_payloads`.
+    The caller sets `payloads`, which are added to each message, and consumes `received_payloads`.
 
     Args:
-        name: This member's name. address: Where the other members reach it. incarnation: Greater
-        than any of this name before: the Unix time of the start in milliseconds. seeds: Addresses
-        of members to ask first. rng: The source of all random choices. settings: Timing and bounds.
-        max_format: The newest datagram format that it understands.
+        name: The name of this member.
+        address: The address at which other members reach it.
+        incarnation: Must be greater than all earlier ones of this name; the start time in Unix
+            milliseconds is suitable.
+        seeds: Addresses of the members to contact first.
+        rng: The source of all random choices.
+        settings: Timing and bounds.
+        max_format: The newest datagram format that this member understands.
     """
 
     def __init__(
@@ -78,7 +83,7 @@
         self.max_format = max_format
         self.table = MemberTable()
         self.detector = FailureDetector(
-            self.table, rng, self.settings, self._message, self._probe_failed
+            self.table, rng, self.settings, self._message, self._on_probe_failed
         )
         self.broadcasts = BroadcastQueue()
         self.next_probe_at = 0.0
@@ -91,19 +96,22 @@
         self.received_payloads: list[bytes] = []
 
     def reachable_names(self) -> list[str]:
-        """Returns the names of the other members that are not dead and did not leave."""
+        """Returns the names of the other members that are neither dead nor have left."""
         return [member.name for member in self.table.reachable()]
 
     def recently_dead(self, now: float, within_s: float) -> int:
-        """Returns how many members were declared dead lately; some may be partitioned from here."""
+        """Returns how many members were declared dead within the last `within_s` seconds.
+
+        Some of them may be alive but partitioned from this member.
+        """
         return sum(now - member.changed_at < within_s for member in self.table.dead())
 
     def recovered_from_stall(self, now: float) -> bool:
-        """Whether what is held is current; it is not for four periods after a stall."""
+        """Returns whether the state is current; it is not until four periods after a stall."""
         return now - self.stall_ended_at > PERIODS_TO_RECOVER * self.settings.protocol_period_s
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Returns the messages that are due. To be called several times in a protocol period."""
+        """Returns the messages that are due. Must be called several times per protocol period."""
         settings = self.settings
         stall_s = settings.stall_periods * settings.protocol_period_s
         if self.last_tick_at is not None and now - self.last_tick_at > stall_s:
@@ -122,7 +130,7 @@
         return out
 
     def leave(self, now: float) -> list[OutgoingMessage]:
-        """Returns messages that announce this member's shutdown to some, who pass it on."""
+        """Returns messages that announce this member's shutdown to some members, which relay it."""
         self.has_left = True
         self.broadcasts.add(self.own_update(MemberState.LEFT))
         out = [
@@ -133,12 +141,12 @@
         return out
 
     def own_update(self, state: MemberState) -> MemberUpdate:
-        """Returns an update about this member itself."""
+        """Returns an update that puts this member into `state`."""
         host, port = self.address
         return MemberUpdate(self.name, host, port, int(state), self.incarnation, self.max_format)
 
     def receive(self, now: float, source: Address, message: Message) -> list[OutgoingMessage]:
-        """Takes a message that `messages.validate` accepted, and returns the answers to it."""
+        """Processes a message that `messages.validate` accepted, and returns the replies."""
         if message.sender == self.name or self.has_left:
             self.counts.rejected += 1
             return []
@@ -147,11 +155,11 @@
             self._apply(now, update)
         received = self.received_payloads + message.payloads
         self.received_payloads = received[-MAX_RECEIVED_PAYLOADS:]
-        out = self._answer(now, source, message)
+        out = self._reply(now, source, message)
         self.counts.sent += len(out)
         return out
 
-    def _answer(self, now: float, source: Address, message: Message) -> list[OutgoingMessage]:
+    def _reply(self, now: float, source: Address, message: Message) -> list[OutgoingMessage]:
         match message.kind:
             case MessageKind.PING:
                 sender = self.table.get(message.sender)
@@ -160,39 +168,39 @@
             case MessageKind.PING_REQ:
                 return self.detector.relay_ping(now, source, message)
             case MessageKind.ACK:
-                return self.detector.take_ack(message.sequence_number)
+                return self.detector.handle_ack(message.sequence_number)
             case MessageKind.NACK:
-                self.detector.take_nack(message.sequence_number)
+                self.detector.handle_nack(message.sequence_number)
             case MessageKind.PULL_STATE:
                 return self._push_state(source)
             case _:
-                pass  # PUSH_STATE and LEAVE are their updates alone
+                pass  # PUSH_STATE and LEAVE consist of updates only
         return []
 
     def _recover_from_stall(self, now: float) -> None:
-        # It received nothing meanwhile: without this it would suspect all others.
+        # It received nothing during the stall; without this it would suspect all other members.
         self.counts.stalls += 1
         self.stall_ended_at = now
         self.detector.reset_after_stall()
         for member in self.table.not_alive_members():
             member.suspicion_ends_at = now + self._suspicion_timeout_s(1)
         self.next_pull_at = now
-        self.incarnation += 1  # others may have declared it dead meanwhile
+        self.incarnation += 1  # others may have declared it dead during the stall
         self.broadcasts.add(self.own_update(MemberState.ALIVE))
 
-    def _probe_failed(self, now: float, member: Member) -> None:
+    def _on_probe_failed(self, now: float, member: Member) -> None:
         since_stall_s = now - self.stall_ended_at
         grace_s = PERIODS_WITHOUT_SUSPICION * self.settings.protocol_period_s
         if member.state is MemberState.ALIVE and since_stall_s > grace_s:
             self.counts.suspected += 1
-            self._apply(now, member.update_as(MemberState.SUSPECT, self.name))
+            self._apply(now, member.update_with_state(MemberState.SUSPECT, self.name))
 
     def _expire_members(self, now: float) -> None:
-        """Declares suspects dead whose time is over, and forgets those that are dead for long."""
+        """Declares expired suspects dead, and removes members that have long been dead or left."""
         for member in self.table.not_alive_members():
             if member.state is MemberState.SUSPECT:
                 if now >= member.suspicion_ends_at:
-                    self._apply(now, member.update_as(MemberState.DEAD))
+                    self._apply(now, member.update_with_state(MemberState.DEAD))
             elif now - member.changed_at > self.settings.dead_retention_s:
                 self.table.remove(member.name)
                 self.broadcasts.discard(member.name)
@@ -203,13 +211,13 @@
         known = [member.address for member in self.table.reachable()]
         interval_s = self.settings.pull_interval_s if known else PULL_INTERVAL_ALONE_S
         self.next_pull_at = now + interval_s * self.rng.uniform(0.5, 1.5)
-        # Seeds that are not known are asked too: one side of a partition must not stay alone.
-        strangers = [seed for seed in self.seeds if seed not in known]
+        # Also asks a seed that is not reachable, so that the sides of a partition merge again.
+        other_seeds = [seed for seed in self.seeds if seed not in known]
         addresses = []
         if known:
             addresses.append(self.rng.choice(known))
-        if strangers:
-            addresses.append(self.rng.choice(strangers))
+        if other_seeds:
+            addresses.append(self.rng.choice(other_seeds))
         return [
             OutgoingMessage(address, self._message(MessageKind.PULL_STATE)) for address in addresses
         ]
@@ -217,9 +225,9 @@
     def _push_state(self, destination: Address) -> list[OutgoingMessage]:
         updates = [self.own_update(MemberState.ALIVE)]
         for member in self.table.members.values():
-            # A suspicion counts by who holds it, and is not passed on as state.
+            # Suspicions are not sent as state: each counts for the member whose probes failed.
             if member.state is not MemberState.SUSPECT:
-                updates.append(member.update_as(member.state))
+                updates.append(member.update_with_state(member.state))
         self.rng.shuffle(updates)
         end = min(len(updates), MAX_STATE_MESSAGES * UPDATES_PER_MESSAGE)
         out = []
@@ -239,7 +247,7 @@
         member = self.table.get(update.name)
         if member is None:
             if state >= MemberState.DEAD or len(self.table) >= self.settings.max_members:
-                return  # nothing is lost with one that was never known
+                return  # a member that was never known needs no removal
             member = self.table.add(update, now)
             self.detector.add_member(update.name)
             if state is MemberState.ALIVE:
@@ -258,7 +266,7 @@
         self.broadcasts.add(update)
 
     def _refute(self, state: MemberState, incarnation: int) -> None:
-        """Contradicts an update that says that this member is not alive."""
+        """Refutes an update that declares this member not alive."""
         if state is MemberState.ALIVE or incarnation < self.incarnation or self.has_left:
             return
         self.incarnation = incarnation + 1
@@ -267,10 +275,10 @@
         self.broadcasts.add(self.own_update(MemberState.ALIVE))
 
     def _confirm_suspicion(self, member: Member, update: MemberUpdate) -> None:
-        """Shortens a suspicion that another member holds too.
+        """Shortens a suspicion that another member confirms.
 
-        Only members that suspect by their own probes count: otherwise those that merely pass a
-        suspicion on would make each of them short.
+        Only members whose own probes failed count as confirmations; otherwise members that merely
+        relay a suspicion would shorten every one.
         """
         if (
             update.incarnation == member.incarnation
@@ -296,9 +304,9 @@
     ) -> Message:
         updates: list[MemberUpdate] = []
         if receiver is not None and receiver.state is MemberState.SUSPECT:
-            updates.append(receiver.update_as(MemberState.SUSPECT, self.name))
+            updates.append(receiver.update_with_state(MemberState.SUSPECT, self.name))
         elif receiver is not None and receiver.state is MemberState.DEAD:
-            updates.append(receiver.update_as(MemberState.DEAD))
+            updates.append(receiver.update_with_state(MemberState.DEAD))
         if not self.has_left and (kind is MessageKind.PULL_STATE or not len(self.table)):
             updates.append(self.own_update(MemberState.ALIVE))
         max_transmissions = self.settings.max_transmissions(len(self.table))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -68,7 +68,7 @@
     both = Codec({1: KEY, 2: KEY[::-1]}, 2)
     new = Codec({2: KEY[::-1]}, 2)
     assert both.decode(old.encode(message())) == message() == new.decode(both.encode(message()))
-    with pytest.raises(MalformedMessageError, match="key 2 is not known"):
+    with pytest.raises(MalformedMessageError, match="key 2 is unknown"):
         old.decode(new.encode(message()))
     full = old.encode(
         Message(MessageKind.PUSH_STATE, "m1", 1, "", message(24).updates, [b"r" * 500] * 20)
