--- a/ingress/components/__init__.py
+++ b/ingress/components/__init__.py
@@ -1,4 +1,4 @@
-"""Optional subsystems of an instance, each imported only where the operator's file asks for it."""
+"""Optional components of an instance, each imported only if the operator's file enables it."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class Component(Protocol):
-    """One of them, from the start of the program to its end."""
+    """An optional component, which runs from the start of the program to its end."""
 
     async def open(self) -> None:
-        """Starts it.
+        """Starts the component.
 
         Raises:
             OSError: An address can't be bound or a file can't be opened.
-            ConfigurationError: Its settings don't fit the rest.
+            ConfigurationError: Its settings conflict with the rest of the configuration.
         """
 
     def close(self) -> None:
-        """Ends it, and frees what it holds."""
+        """Stops the component and releases its resources."""
 
     def counts(self) -> dict[str, Any]:
-        """Returns what happened since the start, by the keys that the program reports."""
+        """Returns the counts since the start, by the keys under which the program reports them."""
--- a/ingress/components/membership_transport.py
+++ b/ingress/components/membership_transport.py
@@ -1,4 +1,4 @@
-"""The membership protocol over UDP. Imported only where the operator's file has [members]."""
+"""The membership protocol over UDP. Imported only if the operator's file has [members]."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 log = logging.getLogger(__name__)
 
 TICK_INTERVAL_S: Final = 0.1
-PROBE_TIMEOUT_PERIODS: Final = 0.4  # of the protocol period, to wait for an ack
-DATAGRAMS_PER_TICK: Final = 64  # that are read; what comes beyond is dropped
-DATAGRAMS_PER_TICK_AND_MEMBER: Final = 4  # read besides
-MAX_ERRORS_LOGGED: Final = 20  # one by one; of later ones every LOG_EVERY
+PROBE_TIMEOUT_PERIODS: Final = 0.4  # protocol periods to wait for an ack
+DATAGRAMS_PER_TICK: Final = 64  # processed; further ones are dropped
+DATAGRAMS_PER_TICK_AND_MEMBER: Final = 4  # processed in addition, for each known member
+MAX_ERRORS_LOGGED: Final = 20  # each; after that, only one in LOG_EVERY
 LOG_EVERY: Final = 1000
 
 
@@ -33,13 +33,13 @@
     """Sends and receives the datagrams of a `GossipBridge`; a `Component` of the program.
 
     Args:
-        name: This instance's name.
+        name: The name of this instance.
         membership: The operator's settings.
-        clock: Unix time in seconds.
-        seed: Of the random choices.
+        clock: Returns the Unix time in seconds.
+        seed: Seed of the random choices.
         gateway: The policy, whose load and backends are read.
-        count_requests: Returns how many requests came and how many attempts were forwarded so far.
-        handle_event: Gives an event to the policy.
+        count_requests: Returns the numbers of requests received and of attempts forwarded so far.
+        handle_event: Passes an event to the policy.
     """
 
     def __init__(
@@ -76,13 +76,13 @@
         )
         self.transport: asyncio.DatagramTransport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.datagrams_left = DATAGRAMS_PER_TICK  # that are still read in this tick
+        self.datagram_budget = DATAGRAMS_PER_TICK  # for the rest of this tick
         self.rejected = 0
         self.dropped = 0
-        self.last_logged = (0, 0)  # other members reachable and dead
+        self.last_logged = (0, 0)  # numbers of reachable and of dead members
 
     async def open(self) -> None:
-        """Binds the socket and starts.
+        """Binds the socket and starts the protocol.
 
         Raises:
             OSError: The address can't be bound.
@@ -101,7 +101,7 @@
         self.timer = self.loop.call_later(TICK_INTERVAL_S, self._tick)
         now = self.clock()
         members = len(self.bridge.swim.table)
-        self.datagrams_left = DATAGRAMS_PER_TICK + DATAGRAMS_PER_TICK_AND_MEMBER * members
+        self.datagram_budget = DATAGRAMS_PER_TICK + DATAGRAMS_PER_TICK_AND_MEMBER * members
         out, events = self.bridge.tick(now, *self.count_requests())
         self._send(out)
         for event in events:
@@ -114,7 +114,7 @@
         if counts != self.last_logged:
             self.last_logged = counts
             log.info(
-                "members: %d others reachable, %d dead, local health %d",
+                "membership changed: %d other members reachable, %d dead, local health %d",
                 *counts,
                 swim.detector.local_health,
             )
@@ -129,25 +129,25 @@
                 self.transport.sendto(self.codec.encode(message), address)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes a datagram, unless too many came since the last tick."""
-        if self.datagrams_left <= 0:
-            self.dropped += 1  # a flood must not take the time of requests
+        """Processes a datagram, or drops it if too many arrived since the last tick."""
+        if self.datagram_budget <= 0:
+            self.dropped += 1  # a flood of datagrams must not delay requests
             return
-        self.datagrams_left -= 1
+        self.datagram_budget -= 1
         try:
             message = self.codec.decode(data)
         except MalformedMessageError as error:
             self.rejected += 1
             if self.rejected <= MAX_ERRORS_LOGGED or self.rejected % LOG_EVERY == 0:
-                log.warning("datagram %d rejected: %s", self.rejected, error)
+                log.warning("membership datagram rejected (%d so far): %s", self.rejected, error)
             return
         self._send(self.bridge.receive(self.clock(), addr, message))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores that a member's host refused a datagram: the probes find out."""
+        """Ignores ICMP errors from a member's host, since probes detect that it is unreachable."""
 
     def counts(self) -> dict[str, Any]:
-        """Returns what happened since the start, by the keys that the program reports."""
+        """Returns the counts since the start, by the keys under which the program reports them."""
         swim = self.bridge.swim
         bridge_counts = self.bridge.counts
         load = self.bridge.last_load
@@ -187,7 +187,7 @@
         }
 
     def close(self) -> None:
-        """Leaves gracefully: some of the others are told at once."""
+        """Leaves the fleet gracefully by notifying some of the other members immediately."""
         if self.timer is not None:
             self.timer.cancel()
         if self.transport is not None:
--- a/ingress/components/version_translation.py
+++ b/ingress/components/version_translation.py
@@ -1,6 +1,6 @@
-"""Backends of several protocol versions behind one exchange.
+"""Support for backends of several protocol versions in one instance.
 
-Imported only where the operator's file has [dialects] or a listener.
+Imported only if the operator's file has [dialects] or a listener.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 BACKEND_VERSIONS: Final = frozenset({"resp2-v1", "resp3-v2", "http-v2"})
 CLIENT_VERSIONS: Final = frozenset({"resp2-v1", "resp3-v2", "http-v2"})
-BACKEND_HOST: Final = "grid.internal"  # HTTP's Host; connections go to discovery's addresses alone
+BACKEND_HOST: Final = "grid.internal"  # Host header only; discovery provides the addresses
 
 
 def client_protocol_for(version: str, settings: Settings) -> ClientProtocolFactory:
-    """Returns the codec of clients of a protocol version.
+    """Returns the factory of client protocols for a protocol version.
 
     Raises:
-        OperatorConfigError: the library that it needs is not installed.
+        OperatorConfigError: A library that the version needs is not installed.
     """
     if version == "resp2-v1":
         return resp.make_client_protocol(settings)
@@ -54,33 +54,35 @@
 
 
 def _split_id(translated_id: str) -> tuple[str, str]:
-    """Returns the id that discovery gives a backend, and its protocol version."""
+    """Returns the backend's id in discovery and its protocol version."""
     backend, _, version = translated_id.rpartition("#")
     return backend, version
 
 
 def _deduplication_scope(classes: list[RequestClass]) -> DeduplicationScope:
-    """Returns the one scope of all classes with idempotency keys.
+    """Returns the common deduplication scope of the classes with idempotency keys.
 
     Raises:
-        OperatorConfigError: they have several.
+        OperatorConfigError: The classes have more than one scope.
     """
     scopes = {request_class.deduplication_scope for request_class in classes}
     if len(scopes) > 1:
         raise OperatorConfigError(
-            "dialects: keyed classes whose key memories reach differently far can't be grouped"
+            "dialects: classes with idempotency keys must have the same deduplication scope"
         )
     return scopes.pop() if scopes else DeduplicationScope.ALL
 
 
 class VersionTranslator:
-    """The upstream of several protocol versions, and the endpoint list that the policy gets.
+    """Creates the upstream of several protocol versions and the endpoint list for the policy.
 
-    `settings`: what the policy gets in place of the configured ones; `placement`: where idempotent
-    requests may run, if backends of one scope don't share one deduplication memory.
+    Attributes:
+        settings: The policy's settings, derived from the configured ones.
+        placement: Decides where idempotent requests may run if the backends of one scope don't
+            share one deduplication memory; None otherwise.
 
     Raises:
-        OperatorConfigError: the request classes can't be translated.
+        OperatorConfigError: The request classes can't be translated.
     """
 
     def __init__(self, table: ProtocolVersions, config: Config) -> None:
@@ -105,7 +107,8 @@
         self.pools: dict[str, BackendPool] = {}
         memories = {version: protocol_version(version).key_memory_name for version in self.versions}
         self.grouping = Grouping(table.default, table.by_kind, table.by_cell, memories, scope)
-        # Where one scope has several memories, what may have run is not sent to another of them.
+        # If one scope has several deduplication memories, a request that may have run must not be
+        # sent to another one of them.
         several_memories = len(set(memories.values())) > 1
         self.placement: Placement | None = None
         if several_memories and scope is DeduplicationScope.ALL and window > 0:
@@ -127,10 +130,12 @@
     def create_dispatcher(
         self, clock: Clock, ended: AttemptEndHandler, timers: Timers
     ) -> UpstreamDispatcher:
-        """Returns the upstream of all versions in use, which share connections and memory evenly.
+        """Returns the upstream of all versions in use.
+
+        The versions share the limits on connections and buffered bytes evenly.
 
         Raises:
-            OperatorConfigError: a library that a version needs is not installed.
+            OperatorConfigError: A library that a version needs is not installed.
         """
         config = self.config
         version_count = len(self.versions)
@@ -151,7 +156,7 @@
         return UpstreamDispatcher(self.pools, lambda backend: _split_id(backend)[1])
 
     def counts(self) -> dict[str, dict[str, int]]:
-        """Returns the reported counts."""
+        """Returns the counts that the program reports."""
         placement = self.placement
         placement_counts: dict[str, int] = {}
         if placement is not None:
@@ -165,14 +170,17 @@
         }
 
     def translate(self, endpoints: EndpointList, complete: bool, now: float) -> EndpointList:
-        """Returns the endpoint list for the policy and the pools.
+        """Returns the endpoint list for the policy and the connection pools.
 
-        `complete`: no backend is left out of `endpoints`; `now`: the clock's time, in seconds.
+        Args:
+            endpoints: The endpoint list from discovery.
+            complete: Whether `endpoints` includes all backends.
+            now: The current time in seconds.
         """
         backends = self.grouping.translate(endpoints.backends, complete)
         if self.placement is not None:
-            named = [(_split_id(backend.id)[0], backend) for backend in backends]
-            self.placement.endpoints_changed(named, complete, now)
+            backends_with_ids = [(_split_id(backend.id)[0], backend) for backend in backends]
+            self.placement.endpoints_changed(backends_with_ids, complete, now)
         addresses = {
             backend.id: endpoints.addresses[_split_id(backend.id)[0]] for backend in backends
         }
