--- a/tests/test_health_gossip.py
+++ b/tests/test_health_gossip.py
@@ -1,4 +1,4 @@
-"""Others' observations of a backend: merged in any order, believed within bounds, few probers."""
+"""Backend observations of other gateways: merge order, bounded trust and the number of probers."""
 
 from __future__ import annotations
 
@@ -61,8 +61,8 @@
     return HealthGossip(NAMES[me], ZONES[NAMES[me]], 1)
 
 
-def is_left_alone(gossip: HealthGossip, now: float = 10.0, alive: list[str] | None = None) -> bool:
-    """Whether it is kept from s1, or one of its probers, which it is only while s1 is down."""
+def is_found_down(gossip: HealthGossip, now: float = 10.0, alive: list[str] | None = None) -> bool:
+    """Returns whether `gossip` finds s1 down, so that it avoids s1 or is one of its probers."""
     others = [name for name in (NAMES if alive is None else alive) if name != gossip.origin]
     before = gossip.counts.prober_selections
     return (
@@ -71,7 +71,7 @@
     )
 
 
-def test_the_failures_that_eject_are_as_many_as_in_the_policy() -> None:
+def test_the_ejection_threshold_equals_that_of_the_policy() -> None:
     assert EJECTION_THRESHOLD == MAX_CONSECUTIVE_FAILURES
 
 
@@ -79,10 +79,10 @@
     st.lists(st.tuples(st.integers(1, 5), st.booleans(), st.integers(1, 4)), max_size=12),
     st.randoms(),
 )
-def test_observations_in_any_order_and_twice_merge_to_the_same(
+def test_observations_merge_to_the_same_state_in_any_order_and_if_duplicated(
     drawn: list[tuple[int, bool, int]], rng: random.Random
 ) -> None:
-    # An observer never says two things under one number.
+    # An observer never reuses a sequence number for a different observation.
     observations = list(
         {
             (observer, number): observation(observer, down, 1.0 / number, number)
@@ -99,56 +99,56 @@
     assert {n: h.report for n, h in one.observations.get("s1", {}).items()} == {
         n: h.report for n, h in other.observations.get("s1", {}).items()
     }
-    assert is_left_alone(one) is is_left_alone(other)
+    assert is_found_down(one) is is_found_down(other)
 
 
-def test_one_observer_alone_ejects_nothing_however_often_it_tells() -> None:
+def test_one_observer_alone_ejects_no_backend_however_often_it_reports() -> None:
     gossip = gossip_of()
     for number in range(1, 50):
         gossip.merge(10.0, observation(1, number=number))
-    assert not is_left_alone(gossip)
+    assert not is_found_down(gossip)
     gossip.merge(10.0, observation(2))
-    assert is_left_alone(gossip)
+    assert is_found_down(gossip)
 
 
-def test_a_later_response_outweighs_all_and_an_earlier_one_none() -> None:
+def test_only_a_response_after_all_failures_outweighs_them() -> None:
     gossip = gossip_of()
     for observer in (1, 2, 3):
         gossip.merge(10.0, observation(observer, age=2.0))
     gossip.merge(10.0, observation(4, down=False, age=3.0))
-    assert is_left_alone(gossip)
+    assert is_found_down(gossip)
     gossip.merge(10.0, observation(5, down=False, age=1.0))
-    assert not is_left_alone(gossip)
+    assert not is_found_down(gossip)
 
 
-def test_observations_of_the_own_zone_go_before_those_of_others() -> None:
-    """A path that is broken for one zone alone."""
+def test_observations_of_the_own_zone_take_precedence_over_those_of_other_zones() -> None:
+    """A network path may be broken for one zone only."""
     in_a = gossip_of(0)
     in_b = gossip_of(6)
     for gossip in (in_a, in_b):
         for observer in (1, 2, 3):
             gossip.merge(10.0, observation(observer))
-        assert is_left_alone(gossip)  # the other zone has seen nothing itself yet
+        assert is_found_down(gossip)  # zone b has no observations of its own yet
         gossip.merge(10.0, observation(7, down=False))
-    assert is_left_alone(in_a)
-    assert not is_left_alone(in_b)
+    assert is_found_down(in_a)
+    assert not is_found_down(in_b)
 
 
-def test_observations_of_dead_members_and_old_ones_count_no_more() -> None:
+def test_observations_of_dead_members_and_expired_observations_are_ignored() -> None:
     gossip = gossip_of()
     for observer in (1, 2):
         gossip.merge(10.0, observation(observer))
-    assert is_left_alone(gossip)
-    assert not is_left_alone(gossip, alive=[n for n in NAMES if n != NAMES[1]])
-    assert is_left_alone(gossip, now=10.0 + MAX_AGE_S - 0.1)
-    assert not is_left_alone(gossip, now=10.0 + MAX_AGE_S + 0.1)
+    assert is_found_down(gossip)
+    assert not is_found_down(gossip, alive=[n for n in NAMES if n != NAMES[1]])
+    assert is_found_down(gossip, now=10.0 + MAX_AGE_S - 0.1)
+    assert not is_found_down(gossip, now=10.0 + MAX_AGE_S + 0.1)
     gossip.merge(40.0, observation(3, age=MAX_AGE_S + 1))
     gossip.merge(40.0, observation(4, age=MAX_AGE_S + 1))
-    assert not is_left_alone(gossip, now=40.0)
+    assert not is_found_down(gossip, now=40.0)
 
 
 @pytest.mark.parametrize("count", [3, 12, 40, 200, 1000])
-def test_the_number_of_probers_is_fixed_and_few_change_with_one_member(count: int) -> None:
+def test_the_number_of_probers_is_fixed_and_few_probers_change_with_one_member(count: int) -> None:
     names = [f"i{n}" for n in range(count)]
     changed = 0
     for number in range(100):
@@ -159,7 +159,7 @@
     assert changed <= 100 * PROBERS_PER_ZONE / count * 3 + 5
 
 
-def test_a_gateway_in_poor_health_tells_of_no_backend() -> None:
+def test_a_gateway_in_poor_health_reports_no_backend_down() -> None:
     def own_changes(health: int, down: int) -> int:
         gossip = gossip_of()
         backends = {f"s{n}": Observed(1, True) if n < down else Observed() for n in range(8)}
@@ -168,15 +168,15 @@
 
     assert own_changes(0, 2) == 2
     assert own_changes(0, 4) == 4
-    assert own_changes(0, 5) == 0  # more than half: the cause is likely its own
+    assert own_changes(0, 5) == 0  # more than half: the gateway itself is likely the cause
     assert own_changes(3, 2) == 0
 
 
-def test_a_response_is_told_once_where_others_hold_the_backend_down() -> None:
+def test_a_response_is_reported_once_if_others_report_the_backend_down() -> None:
     gossip = gossip_of()
     backends = {"s1": Observed(last_response_at=9.0), "s2": Observed(last_response_at=9.0)}
     gossip.observe_backends(10.0, backends, 3, 0)
-    assert gossip.counts.own_changes == 0  # nobody holds it down
+    assert gossip.counts.own_changes == 0  # no gateway reports it down
     gossip.merge(10.0, observation(1, age=2.0))
     gossip.observe_backends(10.0, backends, 3, 0)
     gossip.observe_backends(10.1, backends, 3, 0)
@@ -213,7 +213,7 @@
         {"zone": "z" * 65},
     ],
 )
-def test_an_observation_that_no_gateway_sends_is_not_decoded(change: dict[str, object]) -> None:
+def test_an_observation_with_a_field_out_of_range_is_not_decoded(change: dict[str, object]) -> None:
     row = observation(1)
     assert decode_observation(msgspec.msgpack.encode(row)) == row
     assert (
@@ -223,7 +223,7 @@
     assert decode_observation(msgspec.msgpack.encode(["i1", 1, 1, 1.0, 1.0, 0.1, 0.0])) is None
 
 
-def test_the_policy_leaves_what_peers_ejected_until_the_ejection_expires() -> None:
+def test_the_policy_avoids_a_backend_ejected_by_peers_until_the_ejection_expires() -> None:
     classes = (RequestClass("grid-fetch", latency_objective=1.5, deadline=4.0),)
     gateway = Gateway(Settings(classes, (Plan("base", rate=0.0, burst=1000.0),)), seed=1)
     gateway.handle(
@@ -232,7 +232,7 @@
     )
 
     def targets(now: float) -> set[str]:
-        found = set()
+        backends = set()
         for number in range(40):
             [send] = [
                 a
@@ -242,11 +242,11 @@
                 )
                 if isinstance(a, StartAttempt)
             ]
-            found.add(send.backend)
+            backends.add(send.backend)
             gateway.handle(
                 now, AttemptEnded(send.request_id, 0, send.backend, Outcome.OK, 0.01, True)
             )
-        return found
+        return backends
 
     assert "s1" in targets(1.0)
     gateway.handle(2.0, PeerEjections(("s1", "gone"), 3.0))
@@ -255,9 +255,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_few_go_on_trying_a_dead_backend_that_the_endpoint_list_has(seed: int) -> None:
+def test_few_gateways_probe_a_dead_backend_that_is_still_in_the_endpoint_list(seed: int) -> None:
     failed = {}
-    for heard in (True, False):
+    for use_ejections in (True, False):
         size = Size(
             gateways=40,
             backends=12,
@@ -270,12 +270,12 @@
             size,
             SCENARIOS["unsaid"],
             seed,
-            gossiping_gateways(GossipConditions(use_ejections=heard)),
+            gossiping_gateways(GossipConditions(use_ejections=use_ejections)),
         )
         metrics = simulation.run()
-        failed[heard] = metrics.outcomes["connect_failed"]
+        failed[use_ejections] = metrics.outcomes["connect_failed"]
         assert metrics.figures()["share"] > 0.95
-        if heard:
+        if use_ejections:
             counts = [gateway.bridge.health_gossip.counts for gateway in simulation.gateways]  # type: ignore[attr-defined]
             assert sum(c.ejections > 0 for c in counts) > 25
             assert sum(c.prober_selections > 0 for c in counts) >= 4
@@ -283,8 +283,10 @@
     assert failed[True] < 0.5 * failed[False], failed
 
 
-def test_where_all_are_probers_all_send_what_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A seeded breach: all probe."""
+def test_failing_attempts_are_frequent_if_all_gateways_are_probers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Injects the fault that the test above detects: every gateway is a prober."""
     monkeypatch.setattr(module, "PROBERS_PER_ZONE", 1000)
     size = Size(
         gateways=40,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time, while members die, stall, are partitioned and come back."""
+"""The membership protocol in virtual time, with members that crash, stall, restart or partition."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
     assert set(PRECEDENCE) == set(product(MemberState, MemberState))
     rows = [(state, incarnation) for state in MemberState for incarnation in (1, 2)]
     for updates in permutations(rows, 3):
-        ends = set()
+        final_states = set()
         for order in permutations(updates):
             current = order[0]
-            for received in (*order[1:], *order):  # each comes twice
+            for received in (*order[1:], *order):  # each update arrives twice
                 if supersedes(*received, *current):
                     current = received
-            ends.add(current)
-        assert len(ends) == 1, updates
+            final_states.add(current)
+        assert len(final_states) == 1, updates
 
 
 # Datagrams
@@ -79,15 +79,15 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.integers(0, 10_000), st.integers(1, 255), st.binary(max_size=1300))
-def test_altered_and_invented_datagrams_are_rejected(
+def test_altered_truncated_and_random_datagrams_are_rejected(
     position: int, flip: int, noise: bytes
 ) -> None:
     codec = Codec({1: KEY}, 1)
     data = bytearray(codec.encode(message()))
     data[position % len(data)] ^= flip
-    for made in (bytes(data), noise, bytes(data[: position % len(data)])):
+    for datagram in (bytes(data), noise, bytes(data[: position % len(data)])):
         with pytest.raises(MalformedMessageError):
-            codec.decode(made)
+            codec.decode(datagram)
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
         Message(MessageKind.PING, "m1", 1, "", message(25).updates),
     ],
 )
-def test_values_out_of_range_are_rejected_though_authenticated(bad: Message) -> None:
+def test_values_out_of_range_in_authenticated_datagrams_are_rejected(bad: Message) -> None:
     codec = Codec({1: KEY}, 1)
     with pytest.raises(MalformedMessageError):
         codec.decode(codec.encode(bad))
@@ -114,7 +114,9 @@
     ("keys", "active_key"),
     [({1: KEY}, 2), ({1: b"short"}, 1), ({256: KEY}, 256), ({1: KEY * 9}, 1)],
 )
-def test_invalid_keys_are_rejected_and_not_shown(keys: dict[int, bytes], active_key: int) -> None:
+def test_invalid_keys_are_rejected_without_showing_them(
+    keys: dict[int, bytes], active_key: int
+) -> None:
     with pytest.raises(ValueError, match=r"^key \d+") as error:
         Codec(keys, active_key)
     assert "short" not in str(error.value)
@@ -124,7 +126,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_thirty_members_that_start_at_once_find_one_another(seed: int) -> None:
+def test_thirty_members_started_at_once_discover_each_other(seed: int) -> None:
     network = MembershipNetwork(30, seed)
     names = {f"m{n}" for n in range(30)}
     assert network.run_until(lambda: network.has_converged(names), 10.0) < 6.0
@@ -135,7 +137,7 @@
     network = converged(12, seed)
     for n in range(6):
         network.kill(n)
-    left = {f"m{n}" for n in range(6, 12)}
+    survivors = {f"m{n}" for n in range(6, 12)}
     network.run_until(
         lambda: all(
             not {f"m{n}" for n in range(6)} & set(x.reachable_names())
@@ -143,12 +145,12 @@
         ),
         25.0,
     )
-    assert network.has_converged(left)
+    assert network.has_converged(survivors)
     assert all(x.recently_dead(network.now, 30.0) == 6 for x in network.live_members())
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_tenth_of_the_datagrams_lost_and_repeated_declares_nobody_dead(seed: int) -> None:
+def test_losing_and_duplicating_a_tenth_of_datagrams_declares_no_member_dead(seed: int) -> None:
     network = converged(12, seed, loss=0.1, duplication=0.1)
     network.run(60.0)
     assert network.lost > 200
@@ -158,7 +160,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_member_that_stalled_declares_nobody_dead_and_does_not_stay_dead(
+def test_a_stalled_member_declares_no_other_dead_and_is_alive_again_after_the_stall(
     seed: int,
 ) -> None:
     network = converged(12, seed)
@@ -178,7 +180,7 @@
     network.run_until(lambda: network.has_converged(ALL), 10.0)
     assert stalled.counts.declared_dead == 0
     assert stalled.recovered_from_stall(network.now + 5.0)
-    assert all(x.counts.declared_dead <= 1 for x in network.live_members())  # m3 alone
+    assert all(x.counts.declared_dead <= 1 for x in network.live_members())  # only m3
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -195,7 +197,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_path_that_works_one_way_only_declares_nobody_dead(seed: int) -> None:
+def test_a_path_that_fails_in_one_direction_declares_no_member_dead(seed: int) -> None:
     network = converged(12, seed)
     network.is_partitioned = lambda a, b: a == 2 and b == 5
     network.run(60.0)
@@ -206,16 +208,16 @@
 
 def test_a_member_that_leaves_gracefully_is_not_suspected() -> None:
     network = converged(12)
-    gone = network.members[4]
-    assert gone is not None
+    leaving = network.members[4]
+    assert leaving is not None
     before = sum(x.counts.suspected for x in network.live_members())
-    network.send(4, gone.leave(network.now))
+    network.send(4, leaving.leave(network.now))
     network.kill(4)
     network.run_until(lambda: network.has_converged(ALL - {"m4"}), 3.0)
     assert sum(x.counts.suspected for x in network.live_members()) == before
 
 
-def test_a_member_that_restarts_under_its_name_is_alive_at_once() -> None:
+def test_a_member_restarted_under_its_name_is_alive_within_six_seconds() -> None:
     network = converged(12)
     network.kill(7)
     network.run(1.0)
@@ -223,9 +225,9 @@
     network.run_until(lambda: network.has_converged(ALL), 6.0)
 
 
-def test_a_slow_member_does_not_declare_healthy_ones_dead() -> None:
+def test_a_slow_member_does_not_declare_healthy_members_dead() -> None:
     network = converged(12)
-    network.tick_delay[5] = 0.9  # it ticks once a second
+    network.tick_delay[5] = 0.9  # ticks once per second
     network.run(60.0)
     assert sum(x.counts.declared_dead for x in network.live_members()) == 0
     slow, healthy = network.members[5], network.members[6]
@@ -234,7 +236,7 @@
     assert slow.detector.counts.probes < healthy.detector.counts.probes * 0.7
 
 
-def test_replayed_messages_change_nothing() -> None:
+def test_replayed_messages_neither_remove_nor_add_members() -> None:
     network = converged(12)
     recorded: list[Message] = []
     deliver = network.deliver
@@ -265,7 +267,7 @@
         )
 
 
-def test_members_of_two_formats_live_side_by_side() -> None:
+def test_members_with_two_datagram_formats_interoperate() -> None:
     network = converged(6)
     for n in range(3):
         network.kill(n)
@@ -288,13 +290,13 @@
     )
     assert member.incarnation == 6
     assert member.counts.refuted == 1
-    [(_, answer)] = member.receive(1.1, ("127.0.0.1", 2), Message(MessageKind.PING, "b", 2))
-    assert {(n.name, n.state, n.incarnation) for n in answer.updates} == {
+    [(_, reply)] = member.receive(1.1, ("127.0.0.1", 2), Message(MessageKind.PING, "b", 2))
+    assert {(n.name, n.state, n.incarnation) for n in reply.updates} == {
         ("a", MemberState.ALIVE, 6)
     }
 
 
-def test_a_flood_of_members_relays_and_payloads_is_bounded() -> None:
+def test_memory_for_members_relays_and_payloads_is_bounded_under_a_flood() -> None:
     member = SwimProtocol("a", ("127.0.0.1", 1), 5, [], Random(1), SwimSettings(max_members=50))
     for n in range(400):
         member.receive(
--- a/tests/test_membership_settings.py
+++ b/tests/test_membership_settings.py
@@ -1,4 +1,4 @@
-"""[members] in the operator's file: errors name the file and the setting, and show no key."""
+"""[members] in the operator's file: errors name the file and the setting and contain no key."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ingress.platform.operator_config import Membership, OperatorConfigError, read_operator_config
 
 KEY = "00112233445566778899aabbccddeeff"
-NONE: Mapping[str, str | None] = {}
-GOOD: Mapping[str, str | None] = {
+NO_CHANGES: Mapping[str, str | None] = {}
+VALID_SETTINGS: Mapping[str, str | None] = {
     "address": '"127.0.0.1:7100"',
     "seeds": '["127.0.0.2:7100"]',
     "keys": '"keys"',
@@ -22,17 +22,17 @@
 
 def read(
     folder: Path,
-    changes: Mapping[str, str | None] = NONE,
-    lines: str = f"3 {KEY}\n",
+    changes: Mapping[str, str | None] = NO_CHANGES,
+    key_lines: str = f"3 {KEY}\n",
     mode: int = 0o600,
 ) -> Membership | None:
-    rows = {key: value for key, value in {**GOOD, **changes}.items() if value is not None}
+    rows = {key: value for key, value in {**VALID_SETTINGS, **changes}.items() if value is not None}
     path, text = (
         folder / "ingress.toml",
         "".join(f"{key} = {value}\n" for key, value in rows.items()),
     )
     path.write_text("[members]\n" + text, encoding="utf-8")
-    (folder / "keys").write_text(lines, encoding="ascii")
+    (folder / "keys").write_text(key_lines, encoding="ascii")
     (folder / "keys").chmod(mode)
     return read_operator_config(path, frozenset({"resp2-v1"}), frozenset({"resp2-v1"})).membership
 
@@ -73,7 +73,7 @@
         ({"port": "1"}, "port: not known"),
     ],
 )
-def test_invalid_settings_are_rejected_by_name(
+def test_an_invalid_setting_is_rejected_with_its_name_and_the_file(
     tmp_path: Path, changes: dict[str, str | None], words: str
 ) -> None:
     with pytest.raises(OperatorConfigError, match=words) as error:
@@ -94,19 +94,21 @@
         ("".join(f"{n} {KEY}\n" for n in range(9)), "9 keys"),
     ],
 )
-def test_invalid_keys_are_rejected_and_not_shown(tmp_path: Path, keys: str, words: str) -> None:
+def test_invalid_keys_are_rejected_without_showing_them(
+    tmp_path: Path, keys: str, words: str
+) -> None:
     with pytest.raises(OperatorConfigError, match=words) as error:
-        read(tmp_path, lines=keys)
+        read(tmp_path, key_lines=keys)
     assert KEY not in str(error.value)
     assert "zz" not in str(error.value)
 
 
-def test_a_key_file_that_others_may_read_is_rejected(tmp_path: Path) -> None:
+def test_a_key_file_readable_by_other_users_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(OperatorConfigError, match="make it 0600"):
         read(tmp_path, mode=0o644)
 
 
-def test_nothing_of_membership_is_imported_where_it_is_off() -> None:
+def test_no_membership_module_is_imported_while_membership_is_disabled() -> None:
     script = (
         "import sys, ingress.application, ingress.service\n"
         "assert not [n for n in sys.modules if n.startswith(('msgspec', 'ingress.membership', "
--- a/tests/test_shed_fraction.py
+++ b/tests/test_shed_fraction.py
@@ -1,4 +1,4 @@
-"""The fleet's shed fraction, and the load reports that it rests on."""
+"""The fleet's shed fraction, and the load reports from which it is computed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,13 @@
 from ingress.membership.swim import SwimProtocol
 from ingress.policy.concurrency_limiter import ConcurrencyLimiter
 
-LIES = [(1e9, 0.0, 1e9), (1e9, 1e9, 0.0), (0.0, 0.0, 1e9), (1e9, 0.0, 0.0), (1e9, 1e9, 1e9)]
+FALSE_REPORTS = [
+    (1e9, 0.0, 1e9),
+    (1e9, 1e9, 0.0),
+    (0.0, 0.0, 1e9),
+    (1e9, 0.0, 0.0),
+    (1e9, 1e9, 1e9),
+]
 
 
 def reports(
@@ -41,7 +47,7 @@
 @pytest.mark.parametrize(
     ("admitted", "utilization"), [(1.0, 0.1), (0.9, 0.6), (0.5, 0.9), (0.2, 1.1), (0.02, 1.4)]
 )
-def test_no_lie_moves_the_shed_fraction_by_more_than_the_bound(
+def test_no_false_report_moves_the_shed_fraction_by_more_than_the_bound(
     count: int, admitted: float, utilization: float
 ) -> None:
     honest = compute_fleet_load(reports(count, admitted, utilization), count)
@@ -52,30 +58,35 @@
         headroom = MIN_HEADROOM
     else:
         headroom = MAX_HEADROOM - (utilization - 0.5) / 0.4 * (MAX_HEADROOM - MIN_HEADROOM)
-    for lie in LIES:
-        lied = compute_fleet_load(
-            [*reports(count - 1, admitted, utilization), LoadReport("liar", 1, 1, *lie, 0.0)], count
+    for values in FALSE_REPORTS:
+        misled = compute_fleet_load(
+            [*reports(count - 1, admitted, utilization), LoadReport("faulty", 1, 1, *values, 0.0)],
+            count,
         )
-        assert lied is not None, lie
-        deviation = abs(lied.shed_fraction - honest.shed_fraction)
-        assert deviation <= max_deviation(count, headroom) + 1e-9, (lie, lied)
+        assert misled is not None, values
+        deviation = abs(misled.shed_fraction - honest.shed_fraction)
+        assert deviation <= max_deviation(count, headroom) + 1e-9, (values, misled)
     assert max_deviation(12, MIN_HEADROOM) < 0.22
     assert max_deviation(200, MIN_HEADROOM) < 0.015
 
 
-def test_without_bounded_weights_one_lie_sheds_all(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_one_false_report_sheds_all_requests_without_bounded_weights(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("ingress.fleet_shedding.shed_fraction.bounded_weights", list)
-    lied = compute_fleet_load([*reports(11, 1.0, 0.1), LoadReport("liar", 1, 1, *LIES[0], 0.0)], 12)
-    assert lied is not None
-    assert lied.shed_fraction > 0.99
+    misled = compute_fleet_load(
+        [*reports(11, 1.0, 0.1), LoadReport("faulty", 1, 1, *FALSE_REPORTS[0], 0.0)], 12
+    )
+    assert misled is not None
+    assert misled.shed_fraction > 0.99
 
 
-def test_ten_times_the_mean_at_one_instance_weighs_as_two() -> None:
-    even = reports(11, 0.5, 0.9)
+def test_an_instance_with_ten_times_the_mean_load_has_at_most_twice_the_mean_weight() -> None:
+    equal = reports(11, 0.5, 0.9)
     hot = LoadReport("hot", 1, 1, 100.0, 50.0, 0.9, 0.0)
     shed_fractions = [
         load.shed_fraction
-        for rows in (even, [*even, hot])
+        for rows in (equal, [*equal, hot])
         if (load := compute_fleet_load(rows, 12)) is not None
     ]
     assert len(shed_fractions) == 2
@@ -84,16 +95,18 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "members", "is_known"),
+    ("report_count", "members", "is_known"),
     [(2, 2, False), (MIN_REPORTS, 3, True), (3, 11, False), (4, 12, True), (0, 1, False)],
 )
-def test_too_few_reports_give_no_fleet_load(heard: int, members: int, is_known: bool) -> None:
-    assert (compute_fleet_load(reports(heard, 0.5, 0.9), members) is not None) is is_known
+def test_too_few_reports_give_no_fleet_load(
+    report_count: int, members: int, is_known: bool
+) -> None:
+    assert (compute_fleet_load(reports(report_count, 0.5, 0.9), members) is not None) is is_known
     assert compute_fleet_load(reports(12, 0.5, 0.9, offered=0.0), 12) is None
 
 
-def test_the_shed_fraction_falls_to_zero_once_the_limiters_empty() -> None:
-    """The overload is gone: what is admitted may grow threefold in each round of reports."""
+def test_the_shed_fraction_falls_to_zero_once_the_limiters_are_empty() -> None:
+    """After an overload, the admitted load may triple in each round of reports."""
     admitted = 0.05
     rounds = 0
     while (
@@ -104,7 +117,7 @@
     assert rounds <= 3
 
 
-def test_limiters_that_were_idle_count_as_idle_until_they_are_in_use_again() -> None:
+def test_idle_limiters_count_as_idle_until_they_are_in_use_again() -> None:
     detector = IdleDetector()
     rows = [
         (0.0, 0.9, False),
@@ -121,12 +134,12 @@
         (13.3, 0.3, True),
     ]
     assert [detector.update(now, utilization) for now, utilization, _ in rows] == [
-        holds for _, _, holds in rows
+        is_idle for _, _, is_idle in rows
     ]
 
 
-def test_a_fleet_that_admitted_nothing_sheds_nothing_once_its_limiters_were_idle() -> None:
-    """Any multiple of nothing is nothing: by what is admitted alone, all would be shed for ever."""
+def test_a_fleet_that_admitted_no_load_sheds_none_once_its_limiters_were_idle() -> None:
+    """The fraction depends on the admitted load: a fleet that admits none would shed forever."""
     members = SwimProtocol("i0", ("127.0.0.1", 1), 1, [], random.Random(1))
     members.reachable_names = lambda: [f"i{n}" for n in range(1, 12)]  # type: ignore[method-assign]
     bridge = GossipBridge(members, ConcurrencyLimiter(), {}, "a", 0.0)
@@ -147,32 +160,35 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_load_reports_in_any_order_and_twice_merge_to_the_same(
+def test_load_reports_merge_to_the_same_state_in_any_order_and_if_duplicated(
     rows: list[tuple[int, int, int]], rng: random.Random
 ) -> None:
-    told = [
-        msgspec.msgpack.encode(LoadReport(f"i{n}", life, number, 1.0, 1.0, life + number / 10, 0.0))
-        for n, life, number in rows
+    payloads = [
+        msgspec.msgpack.encode(
+            LoadReport(f"i{n}", incarnation, number, 1.0, 1.0, incarnation + number / 10, 0.0)
+        )
+        for n, incarnation, number in rows
     ]
     one, other = LoadReports("me", 1), LoadReports("you", 1)
-    one.merge(5.0, told)
-    shuffled = told + told
+    one.merge(5.0, payloads)
+    shuffled = payloads + payloads
     rng.shuffle(shuffled)
     for row in shuffled:
         other.merge(5.0, [row])
-    held = {
+    newest = {
         name: (x.report.incarnation, x.report.sequence_number) for name, x in one.reports.items()
     }
-    assert held == {
+    assert newest == {
         name: (x.report.incarnation, x.report.sequence_number) for name, x in other.reports.items()
     }
-    assert held == {
-        f"i{n}": max((life, number) for k, life, number in rows if k == n) for n, _, _ in rows
+    assert newest == {
+        f"i{n}": max((incarnation, number) for k, incarnation, number in rows if k == n)
+        for n, _, _ in rows
     }
 
 
-def test_ages_add_up_over_holders_and_old_reports_are_dropped() -> None:
-    """No two clocks are compared: these differ by an hour."""
+def test_report_ages_add_up_over_hops_and_old_reports_are_dropped() -> None:
+    """The clocks differ by an hour; clocks of two instances are never compared."""
     first, second, third = LoadReports("a", 1), LoadReports("b", 1), LoadReports("c", 1)
     first.record_own(100.0, 5.0, 4.0, 0.5)
     second.merge(3700.0, first.encode_newest(100.4, 24))
@@ -198,7 +214,7 @@
         msgspec.msgpack.encode(["a", 1, -1, 1.0, 0.0, 0.0, 0.0]),
     ],
 )
-def test_reports_that_no_instance_sends_are_dropped_and_counted(bad: bytes) -> None:
+def test_invalid_reports_are_dropped_and_counted(bad: bytes) -> None:
     load_reports = LoadReports("me", 1)
     load_reports.merge(1.0, [bad])
     assert decode_report(bad) is None
@@ -206,7 +222,7 @@
     assert not load_reports.reports
 
 
-def test_no_other_instance_reports_for_this_one() -> None:
+def test_a_report_by_another_instance_about_this_one_is_ignored() -> None:
     load_reports = LoadReports("me", 7)
     load_reports.record_own(1.0, 5.0, 5.0, 0.1)
     load_reports.merge(1.0, [msgspec.msgpack.encode(LoadReport("me", 99, 99, 1.0, 0.0, 9.0, 0.0))])
