--- a/ingress/fleet_shedding/shed_fraction.py
+++ b/ingress/fleet_shedding/shed_fraction.py
@@ -21,7 +21,7 @@
 
 from ingress.fleet_shedding.load_reports import LoadReport
 
-MAX_WEIGHT_RATIO: Final = 2.0  # an instance's weight to the mean offered rate of the others
+MAX_WEIGHT_RATIO: Final = 2.0  # highest weight, relative to the others' mean offered rate
 MIN_HEADROOM: Final = 1.4  # multiple of the admitted load, at HIGH_UTILIZATION and above
 MAX_HEADROOM: Final = 3.0  # multiple of the admitted load, up to LOW_UTILIZATION
 HIGH_UTILIZATION: Final = 0.9
--- a/tests/test_fleet_model.py
+++ b/tests/test_fleet_model.py
@@ -52,8 +52,8 @@
     seed: int, scenario: str
 ) -> None:
     """Customers of 26 gateways request several times their quota from a nearly full counter service, which may
-    start over with empty counts. Gateways that deducted a loss known only to them as debt, repeatedly, made the
-    store look full to all others: 19 of 72 runs exceeded the ceiling."""
+    restart with empty counts. Gateways repeatedly deducted losses known only to them as debt, so that the store
+    looked full to all others: 19 of 72 runs exceeded the ceiling."""
     gateways, calls, load, quota_use, backends = [
         (30, 400.0, 0.4, 5.0, 24),
         (40, 500.0, 0.3, 4.0, 24),
