--- a/ingress/simulation/__init__.py
+++ b/ingress/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet in virtual time: the real policy among models of clients, backends and services."""
+"""Fleet simulation in virtual time: the real policy with models of clients and services."""
--- a/ingress/simulation/attempt_network.py
+++ b/ingress/simulation/attempt_network.py
@@ -1,4 +1,4 @@
-"""The network between gateways and backends: attempts one way, their outcomes the other."""
+"""Models the network that carries attempts to backends and their outcomes back to gateways."""
 
 from __future__ import annotations
 
@@ -12,11 +12,18 @@
 from ingress.simulation.metrics import FleetMetrics
 from ingress.simulation.requests import Attempt, OpenRequests, Request
 
-NEW_CONNECTION_TRIPS: Final = 3  # a handshake there and back, then the request
+NEW_CONNECTION_TRIPS: Final = 3  # one-way delays: a handshake (2) and the request (1)
 
 
 class AttemptNetwork:
-    """Carries attempts; `on_served` is called with the time and a request that is answered."""
+    """Carries attempts from gateways to backends and their outcomes back.
+
+    Args:
+        environment: Simulation that the network belongs to.
+        metrics: Counts the attempts and their outcomes.
+        open_requests: Requests that have not ended, by gateway and ID.
+        on_served: Called with the time and the request when a backend serves a request.
+    """
 
     def __init__(
         self,
@@ -32,7 +39,7 @@
         self.delay = environment.size.network_delay
 
     def send(self, now: float, gateway: int, action: StartAttempt) -> None:
-        """Sends an attempt, unless its request has ended, which the gateway is told."""
+        """Sends an attempt, or reports it to the gateway as superseded if its request has ended."""
         environment = self.environment
         request = self.open_requests[gateway].get(action.request_id)
         if request is None or request.answered:
@@ -44,11 +51,11 @@
         if action.timeout:
             environment.schedule(action.timeout, self._time_out, attempt)
         if environment.is_partitioned(gateway, attempt.backend):
-            return  # nothing comes back
+            return  # no outcome but the timeout
         self._connect(now, attempt)
 
     def abandon(self, now: float, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Ends an attempt for which nobody waits any more."""
+        """Ends an attempt whose result is no longer needed."""
         if attempt.work is not None:
             attempt.work.abandoned = True
         self._end(now, attempt, outcome)
--- a/ingress/simulation/backend.py
+++ b/ingress/simulation/backend.py
@@ -1,4 +1,4 @@
-"""Model of a backend: cores, a queue, connections that cost a handshake, and slow start."""
+"""Models a backend: cores, a queue, connections that cost a handshake, and slow start."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 IDLE_CONNECTION_TIMEOUT_S: Final = 9.0
 
 Schedule = Callable[..., None]
-"""Takes a delay in seconds, a callback, and arguments; the callback gets the time before them."""
+"""Takes a delay in seconds, a callback and its arguments; calls it with the time first."""
 
 
 class AttemptWork:
     """The work of one attempt at a backend.
 
     Attributes:
-        core_s: seconds of a core that it takes, without a handshake.
-        on_end: called with True for a response, with False if the process died under it.
-        on_new_connection: whether a handshake comes first.
-        abandoned: nobody waits for it any more; if it has begun it is finished all the same.
+        core_s: Core time in seconds that the attempt takes, without a handshake.
+        on_end: Called with True for a response, with False if the process died during the work.
+        on_new_connection: Whether the attempt requires a handshake first.
+        abandoned: Whether the result is no longer needed; work that is running is still completed.
     """
 
     __slots__ = ("abandoned", "core_s", "on_end", "on_new_connection")
@@ -39,32 +39,34 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendFigures:
-    """What a backend came to in a run.
+    """Load statistics of a backend in a run.
 
     Attributes:
-        peak_load_ratio: the most work that came in a window while warming up, relative to capacity.
-        collapses: how often it got more than it bears while warming up.
-        crowded_windows: how often the work passed the limit, without an allowance for chance.
-        peak_connections: the most connections at one time.
+        peak_load_ratio: Maximum work that arrived in a window while the backend was warming up,
+            relative to its capacity.
+        collapses: Number of times that work overloaded the backend while it was warming up.
+        windows_over_limit: Number of times that work exceeded the limit, without the allowance
+            for random variation.
+        peak_connections: Maximum number of simultaneous connections.
     """
 
     peak_load_ratio: float
     collapses: int
-    crowded_windows: int
+    windows_over_limit: int
     peak_connections: int
 
 
 class SimulatedBackend:
-    """One backend, and its processes one after another.
+    """One backend and its successive processes.
 
     Attributes:
-        up: whether its process runs.
-        ready: whether it takes new requests: it runs and is not draining.
-        started_at: when its process started; 0 if it was warm from the beginning.
-        slowdown: factor by which all work takes longer.
-        incarnation: how often it has died.
-        running: attempts that are worked on.
-        waiting: attempts in its queue.
+        up: Whether its process is running.
+        ready: Whether it accepts new requests: it is running and not draining.
+        started_at: Start time of its process; 0 if it was warm when the run began.
+        slowdown: Factor by which all work takes longer.
+        incarnation: Number of times that its process has ended.
+        running: Number of attempts in progress.
+        waiting: Attempts in its queue.
     """
 
     def __init__(self, name: str, zone: str, size: Size, schedule: Schedule, speed: float) -> None:
@@ -80,15 +82,15 @@
         self.incarnation = 0
         self.running = 0
         self.waiting = deque[AttemptWork]()
-        self.running_work: dict[int, AttemptWork] = {}  # by identity
-        self.idle_since: dict[int, list[float]] = {}  # by gateway: of each idle connection
+        self.running_work: dict[int, AttemptWork] = {}  # by id() of the work
+        self.idle_since: dict[int, list[float]] = {}  # times of idle connections, by gateway
         self.connections = 0
         self.peak_connections = 0
-        self.recent_work: deque[tuple[float, float]] = deque()  # time and core seconds
+        self.recent_work: deque[tuple[float, float]] = deque()  # arrival time, core seconds
         self.recent_core_s = 0.0
         self.peak_load_ratio = 0.0
         self.collapses = 0
-        self.crowded_windows = 0
+        self.windows_over_limit = 0
         self.handshakes = 0
         self.served = 0
         self.rejected = 0
@@ -96,7 +98,7 @@
         self.wasted_core_s = 0.0
 
     def warm_share(self, now: float) -> float:
-        """Returns the capacity as a share of that of a warm process."""
+        """Returns the current capacity as a share of the capacity of a warm process."""
         if self.started_at <= 0.0:
             return 1.0
         size = self.size
@@ -104,14 +106,14 @@
         return min(1.0, size.cold_capacity + (1 - size.cold_capacity) * age / size.warmup_time)
 
     def capacity(self, now: float) -> float:
-        """Returns the seconds of work that are done in a second."""
+        """Returns the capacity in core seconds a second."""
         return self.size.cores * self.speed * self.warm_share(now) / self.slowdown
 
     def connect(self, gateway: int, now: float) -> bool | None:
-        """Takes a connection from a gateway.
+        """Reuses an idle connection of a gateway or opens a new one.
 
         Returns:
-            True if it is a new one, False if an idle one serves, None if there are too many.
+            True for a new connection, False for a reused one, None at the connection limit.
         """
         idle_since = self.idle_since.get(gateway)
         while idle_since:
@@ -126,18 +128,18 @@
         return True
 
     def release(self, gateway: int, now: float, *, keep_alive: bool) -> None:
-        """Ends the use of a connection, and closes it unless it is kept alive."""
+        """Returns a connection to the idle connections if it is kept alive, or closes it."""
         if keep_alive:
             self.idle_since.setdefault(gateway, []).append(now)
         else:
             self.connections -= 1
 
     def close_idle_connections(self, gateway: int) -> None:
-        """Closes a gateway's idle connections, as it has died."""
+        """Closes the idle connections of a gateway that has died."""
         self.connections -= len(self.idle_since.pop(gateway, ()))
 
     def accept(self, now: float, work: AttemptWork) -> bool:
-        """Puts an attempt into the queue; returns False, and rejects it, if the queue is full."""
+        """Queues an attempt; returns False and rejects the attempt if the queue is full."""
         if self.started_at > 0.0 and now < self.started_at + self.size.warmup_time:
             self._observe_warmup(now, self._core_s_of(work))
         if self.running >= self.size.cores and len(self.waiting) >= self.size.max_queue:
@@ -151,7 +153,7 @@
         return work.core_s + (self.size.handshake_core_s if work.on_new_connection else 0.0)
 
     def _observe_warmup(self, now: float, core_s: float) -> None:
-        """Counts work that comes while warming up, and collapses under too much of it."""
+        """Counts work that arrives during warm-up, and collapses if there is too much of it."""
         window_s = self.size.collapse_window
         self.recent_work.append((now, core_s))
         self.recent_core_s += core_s
@@ -159,13 +161,13 @@
             self.recent_core_s -= self.recent_work.popleft()[1]
         load_ratio = self.recent_core_s / (self.capacity(now) * window_s)
         self.peak_load_ratio = max(self.peak_load_ratio, load_ratio)
-        # Requests of mean size that are allowed, and that came. Arrivals are drawn, so a rate well
-        # below the limit passes it now and then, which counts as crowded: a collapse takes three
-        # standard deviations of a Poisson process and 3 more.
+        # Allowed and arrived work in requests of mean size. Arrivals are random, so a rate well
+        # below the limit occasionally exceeds it, which only counts as a window over the limit. A
+        # collapse requires an excess of three standard deviations of a Poisson process plus 3.
         mean_core_s = self.size.mean_core_s
         allowed = self.size.collapse_factor * self.capacity(now) * window_s / mean_core_s
         arrived = self.recent_core_s / mean_core_s
-        self.crowded_windows += arrived > allowed >= arrived - core_s / mean_core_s
+        self.windows_over_limit += arrived > allowed >= arrived - core_s / mean_core_s
         if arrived > allowed + 3 * sqrt(allowed) + 3:
             self.collapses += 1
             self._clear_recent_work()
@@ -198,8 +200,8 @@
             work.on_end(True)
         self._start_waiting(now)
 
-    def die(self) -> None:
-        """Ends the process with all that it works on."""
+    def terminate(self) -> None:
+        """Ends the process; its queued and running attempts fail."""
         self.up = False
         self.ready = False
         self.incarnation += 1
@@ -214,14 +216,14 @@
                 work.on_end(False)
 
     def start(self, now: float) -> None:
-        """Starts a process, which has to warm up."""
+        """Starts a cold process."""
         self.up = True
         self.ready = True
         self.started_at = now
         self._clear_recent_work()
 
     def figures(self) -> BackendFigures:
-        """Returns what the backend came to so far."""
+        """Returns the statistics of the backend so far."""
         return BackendFigures(
-            self.peak_load_ratio, self.collapses, self.crowded_windows, self.peak_connections
+            self.peak_load_ratio, self.collapses, self.windows_over_limit, self.peak_connections
         )
--- a/ingress/simulation/client_traffic.py
+++ b/ingress/simulation/client_traffic.py
@@ -1,4 +1,4 @@
-"""Clients: when requests come, at which gateway, and what a client does after a rejection."""
+"""Models clients: when requests arrive, at which gateway, and how clients retry."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from ingress.simulation.requests import Attempt, OpenRequests, Request
 from ingress.simulation.size import CLASS_SHARES, CLASSES
 
-GRACE_PERIOD_S: Final = 4.0  # after the last arrival, in which all must end
-CONNECT_FAILURE_DELAY_S: Final = 0.05  # until a client notices that a gateway is down
-EXPIRY_MARGIN_S: Final = 0.005  # a request without a response ends so long before its deadline
-CLIENT_MARGIN_S: Final = 0.02  # a client says that it waits so much less than the deadline
+GRACE_PERIOD_S: Final = 4.0  # after the last arrival; all requests must end within it
+CONNECT_FAILURE_DELAY_S: Final = 0.05  # until a client detects that a gateway is down
+EXPIRY_MARGIN_S: Final = 0.005  # a request without a response ends this long before its deadline
+CLIENT_MARGIN_S: Final = 0.02  # the timeout that a client sends is this much below the deadline
 MAX_RETRY_DELAY_S: Final = 2.0
-BACKOFF_VARIATION: Final = (0.5, 1.5)  # factors
+BACKOFF_VARIATION: Final = (0.5, 1.5)  # range of a random factor
 
 
 class ClientTraffic:
     """The clients of all customers.
 
     Attributes:
-        load_factor: by which more first requests come than usually.
-        hot_share: share of the requests that come to gateway 0 instead of their own.
-        visible_up: whether clients hold each gateway to be up.
+        load_factor: Rate of first requests, relative to the normal rate.
+        hot_share: Share of the requests that arrive at gateway 0 instead of the chosen gateway.
+        considered_up: Whether clients consider each gateway to be up, by gateway index.
     """
 
     def __init__(
@@ -45,16 +45,16 @@
         self.abandon = abandon
         self.load_factor = 1.0
         self.hot_share = 0.0
-        self.visible_up = [True] * environment.size.gateways
+        self.considered_up = [True] * environment.size.gateways
         self.request_count = 0
 
     def start(self, customer: Customer) -> None:
-        """Lets a customer's requests come from now on."""
+        """Starts the arrivals of a customer's requests."""
         delay = self.arrival_rng.expovariate(customer.request_rate)
         self.environment.schedule(delay, self._on_arrival, customer)
 
     def send_first_request(self, now: float, customer: Customer) -> None:
-        """Sends a request of a drawn class and size."""
+        """Sends a first request of a random class and size."""
         size = self.environment.size
         request_class = self.arrival_rng.choices(CLASSES, CLASS_SHARES)[0]
         core_s = self.arrival_rng.expovariate(1.0 / size.mean_core_s)
@@ -62,7 +62,7 @@
         self._send(now, customer, request_class, core_s, 0, None)
 
     def respond(self, now: float, request: Request, kind: ResponseKind, retry_after: float) -> None:
-        """Ends a request with its one final response, unless it has ended."""
+        """Ends a request with its only final response, unless it has already ended."""
         if request.answered:
             return
         request.answered = True
@@ -139,14 +139,14 @@
         environment.gateways[gateway].handle(now, received)
 
     def _choose_gateway(self, customer: Customer, previous: int | None) -> int:
-        """Draws a gateway of the customer's: a live one, and not the previous one, if there is."""
+        """Draws one of the customer's gateways; prefers live ones and avoids the previous one."""
         rng = self.environment.effect_rng
         gateway_count = self.environment.size.gateways
         weights = customer.gateway_weights
         gateways = [
             (customer.first_gateway + offset) % gateway_count for offset in range(len(weights))
         ]
-        live = [offset for offset, gateway in enumerate(gateways) if self.visible_up[gateway]]
+        live = [offset for offset, gateway in enumerate(gateways) if self.considered_up[gateway]]
         others = [offset for offset in live if gateways[offset] != previous]
         candidates = others or live or list(range(len(weights)))
         [offset] = rng.choices(candidates, [weights[offset] for offset in candidates])
--- a/ingress/simulation/counter_service.py
+++ b/ingress/simulation/counter_service.py
@@ -1,4 +1,4 @@
-"""Model of the counter: totals by key, and a bounded rate of calls, each with a timeout."""
+"""Models the counter: totals by key, and a limited rate of calls, each with a timeout."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 CALL_TIMEOUT_S: Final = 0.08
 NETWORK_DELAY_S: Final = 0.001  # one way
-MAX_QUEUE_S: Final = 2.0  # calls beyond this much waiting work are rejected
+MAX_QUEUE_S: Final = 2.0  # calls are rejected while the queue holds more work than this
 MAX_KEY_LIFETIME_S: Final = 60.0
 MIN_CALLS_PER_S: Final = 300.0
 CALLS_PER_S_PER_GATEWAY: Final = 6.0
 
 ReplyCallback = Callable[[Outcome, float, float], None]
-"""Takes a call's outcome, the total and the latency in seconds."""
+"""Takes the outcome of a call, the total and the latency in seconds."""
 
 
 @dataclass(slots=True)
 class CounterCall:
-    """One call: adds `amount` to `key`, which lives for `lifetime` seconds if it is new."""
+    """One call: adds `amount` to `key`, which expires after `lifetime` seconds if it is new."""
 
     key: int
     amount: float
@@ -36,9 +36,9 @@
     """Adds amounts to totals.
 
     Attributes:
-        totals: total and time of expiry of each key.
-        calls: how many calls came.
-        answered: how many were answered before their timeout.
+        totals: Total and expiry time of each key.
+        calls: Number of calls received.
+        answered: Number of calls answered before their timeout.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -47,14 +47,14 @@
         default_rate = max(MIN_CALLS_PER_S, CALLS_PER_S_PER_GATEWAY * size.gateways)
         self.calls_per_s = size.counter_calls_per_s or default_rate
         self.totals: dict[int, tuple[float, float]] = {}
-        self.idle_at = 0.0  # when the calls that wait are done
+        self.idle_at = 0.0  # when the queue becomes empty
         self.calls = 0
         self.answered = 0
 
     def call(
         self, now: float, key: int, amount: float, lifetime: float, on_reply: ReplyCallback
     ) -> None:
-        """Calls the counter; `on_reply` is called once, and again for a total after a timeout."""
+        """Calls the counter; `on_reply` is called once, or twice if a total follows a timeout."""
         self.calls += 1
         call = CounterCall(key, amount, lifetime, now, on_reply)
         schedule = self.environment.schedule
@@ -79,7 +79,7 @@
             expires_at = now + min(call.lifetime, MAX_KEY_LIFETIME_S)
         total += call.amount
         self.totals[call.key] = (total, expires_at)
-        # The wire carries seven significant digits.
+        # The protocol carries seven significant digits.
         self.environment.schedule(NETWORK_DELAY_S, self._answer, call, float(f"{total:.7g}"))
 
     def _answer(self, now: float, call: CounterCall, total: float) -> None:
--- a/ingress/simulation/customers.py
+++ b/ingress/simulation/customers.py
@@ -9,13 +9,13 @@
 from ingress.simulation.environment import Customer
 from ingress.simulation.size import PLAN_SHARES, PLANS, Size
 
-QUOTA_USE_VARIATION: Final = (0.5, 1.5)  # factors
-MIN_REQUEST_RATE: Final = 0.01
+QUOTA_USE_VARIATION: Final = (0.5, 1.5)  # range of a random factor
+MIN_REQUEST_RATE: Final = 0.01  # requests a second
 MIN_GATEWAY_WEIGHT: Final = 0.02
 
 
 def draw_customers(size: Size, rng: Random) -> list[Customer]:
-    """Returns customers whose request rates make up the load of each plan."""
+    """Returns customers whose request rates add up to the load of each plan."""
     customers: list[Customer] = []
     for plan, share in zip(PLANS, PLAN_SHARES, strict=True):
         remaining_rate = share * size.load * size.capacity
--- a/ingress/simulation/discovery_service.py
+++ b/ingress/simulation/discovery_service.py
@@ -1,4 +1,4 @@
-"""Model of the discovery service: a bounded rate of calls, and watches that report changes."""
+"""Models the discovery service: a limited rate of calls, and watches that report changes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ingress.simulation.backend import SimulatedBackend
 from ingress.simulation.environment import Environment
 
-MAX_QUEUE_S: Final = 2.0  # calls beyond this much waiting work are rejected
+MAX_QUEUE_S: Final = 2.0  # calls are rejected while the queue holds more work than this
 MIN_CALLS_PER_S: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Watcher:
-    """One process of a gateway, as it calls for the endpoint list and then watches it."""
+    """A gateway process that fetches the endpoint list and then watches it."""
 
     gateway: int
     incarnation: int
@@ -25,12 +25,12 @@
 
 
 class DiscoveryService:
-    """Holds the endpoint list. A watch goes on at no cost; to begin one is a call.
+    """Serves the endpoint list. Starting a watch costs one call; keeping it open costs nothing.
 
     Attributes:
-        calls: how many calls came.
-        rejected_calls: how many were rejected as too many waited.
-        abandoned_calls: how many were worked on after their caller's timeout.
+        calls: Number of calls received.
+        rejected_calls: Number of calls rejected because the queue was full.
+        abandoned_calls: Number of calls processed after the timeout of their caller.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -39,7 +39,7 @@
         default_rate = max(MIN_CALLS_PER_S, size.gateways * 10 / 30)
         self.calls_per_s = size.discovery_calls_per_s or default_rate
         self.version = 0
-        self.idle_at = 0.0  # when the calls that wait are done
+        self.idle_at = 0.0  # when the queue becomes empty
         self.readiness = dict.fromkeys(environment.backends, Readiness.READY)
         self.watchers: dict[int, Watcher] = {}  # by gateway
         self.calls = 0
@@ -47,7 +47,7 @@
         self.abandoned_calls = 0
 
     def change(self, backend: SimulatedBackend, readiness: Readiness) -> None:
-        """Changes a backend's readiness; each watcher is told of it some time later."""
+        """Changes the readiness of a backend; each watcher is notified after a random delay."""
         self.version += 1
         self.readiness[backend.name] = readiness
         environment = self.environment
@@ -59,7 +59,7 @@
             environment.schedule(delay + extra_delay, self._send_update, watcher, entry)
 
     def connect(self, gateway: int) -> None:
-        """Starts a gateway from the list as it was last stored, and lets it call for the latest."""
+        """Gives a gateway the list that was last stored, then lets it fetch the latest list."""
         environment = self.environment
         incarnation = environment.incarnations[gateway]
         restored = BackendsChanged(EndpointListKind.RESTORED, self._entries(), self.version)
@@ -67,7 +67,7 @@
         backoff_rng = Random(f"{environment.seed} {gateway} {incarnation}")
         watcher = Watcher(gateway, incarnation, WatchBackoff(backoff_rng))
         if environment.now > 0.0:
-            # No watch until the call is answered: what changes before comes late, with the answer.
+            # The watch starts with the answer; earlier changes arrive late, as part of the answer.
             self.watchers.pop(gateway, None)
             self._call(environment.now, watcher)
         else:
--- a/ingress/simulation/environment.py
+++ b/ingress/simulation/environment.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulation know of one another, below all of them."""
+"""Interfaces that the parts of a simulation share, without dependencies on those parts."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     """A customer, and the gateways at which its requests arrive.
 
     Attributes:
-        name: unique in the simulation.
-        plan: its plan.
-        request_rate: requests a second, without its clients' retries.
-        first_gateway: index of the first of its gateways; the others follow it.
-        gateway_weights: how often each of its gateways is chosen, relative to the others.
+        name: Name, unique in the simulation.
+        plan: Plan of the customer.
+        request_rate: Requests a second, without retries by its clients.
+        first_gateway: Index of the first of its gateways; the others have the next indices.
+        gateway_weights: Weight of each of its gateways in the choice of one.
     """
 
     name: str
@@ -33,27 +33,27 @@
 
 
 class SimulatedGateway(Protocol):
-    """A gateway of the simulated fleet: the real policy, or one to compare it with."""
+    """A gateway of the simulated fleet: the real policy, or a reference to compare it with."""
 
     def start(self, now: float) -> None:
-        """Begins at time `now`, in seconds."""
+        """Starts the gateway at time `now`, in seconds."""
 
     def handle(self, now: float, event: Event) -> None:
-        """Takes an event, and acts on the environment."""
+        """Handles an event, and performs the resulting actions in the environment."""
 
 
 class Environment(Protocol):
-    """What gateways and services use of the simulation that they are in.
+    """The simulation as its gateways and services use it.
 
     Attributes:
-        size: of the fleet, its load and its times.
-        seed: of the run.
-        now: virtual time in seconds.
-        backends: by name.
-        gateway_up: whether each gateway runs.
-        incarnations: how often each gateway has died.
-        gateways: the running or last process of each gateway.
-        effect_rng: draws all that depends on what gateways do.
+        size: Size of the fleet, its load and its times.
+        seed: Seed of the run.
+        now: Virtual time in seconds.
+        backends: Backends by name.
+        gateway_up: Whether each gateway is running, by index.
+        incarnations: Number of times that each gateway has died, by index.
+        gateways: Current or latest process of each gateway, by index.
+        effect_rng: Random generator for everything that depends on actions of gateways.
     """
 
     size: Size
@@ -66,10 +66,10 @@
     effect_rng: Random
 
     def schedule(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
-        """Calls back after `delay` seconds, with the time and the arguments."""
+        """Calls `callback` with the time and the arguments after `delay` seconds."""
 
     def active_fault(self, kind: str) -> Fault | None:
-        """Returns the fault of a kind that lasts now."""
+        """Returns the active fault of a kind, or None."""
 
     def is_partitioned(self, gateway: int, backend: SimulatedBackend) -> bool:
-        """Returns whether nothing passes between a gateway and a backend now."""
+        """Returns whether a partition currently separates a gateway from a backend."""
--- a/ingress/simulation/fault_injector.py
+++ b/ingress/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a scenario begin and end."""
+"""Starts and ends the faults of a scenario."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class FaultInjector:
-    """Acts on the parts of a simulation; `kill_gateway` takes index and restart delay."""
+    """Injects faults into the parts of a simulation.
+
+    `kill_gateway` takes the index of a gateway and the delay in seconds until it restarts.
+    """
 
     def __init__(
         self,
@@ -42,7 +45,7 @@
         self.kill_gateway = kill_gateway
 
     def begin(self, now: float, fault: Fault) -> None:
-        """Begins a fault; faults that only `active_fault` tells of need nothing."""
+        """Starts a fault; requires no action for kinds that the parts query with `active_fault`."""
         duration = max(0.0, fault.end - now)
         match fault.kind:
             case "kill":
@@ -93,7 +96,7 @@
         self._remove(backend, RESTART_TIME_S)
 
     def _remove(self, backend: SimulatedBackend, restart_delay: float) -> None:
-        backend.die()
+        backend.terminate()
         self.discovery.change(backend, Readiness.REMOVED)
         self.environment.schedule(restart_delay, self._restart, backend)
 
@@ -108,7 +111,7 @@
 
     def _stop_unannounced(self, fault: Fault, duration: float) -> None:
         for backend in self._sample_backends(max(1, self._backend_count(fault))):
-            backend.die()
+            backend.terminate()
             self.environment.schedule(duration, self._bring_up, backend)
 
     def _bring_up(self, _now: float, backend: SimulatedBackend) -> None:
@@ -116,7 +119,11 @@
         backend.ready = True
 
     def _raise_load(self, fault: Fault, duration: float) -> None:
-        """Adds one request of each customer at once, as their next arrivals are drawn already."""
+        """Raises the rate of first requests.
+
+        Schedules one extra request for each customer, because the next arrival of each customer
+        was drawn at the normal rate.
+        """
         self.clients.load_factor = fault.amount
         for customer in self.customers:
             rate = customer.request_rate * (fault.amount - 1) + MIN_RATE
--- a/ingress/simulation/fleet_simulation.py
+++ b/ingress/simulation/fleet_simulation.py
@@ -1,6 +1,6 @@
-"""A fleet in virtual time: gateways among models of clients, backends, discovery and counter.
+"""Runs a fleet in virtual time: gateways with models of clients, backends, discovery and counter.
 
-A size and a seed give the very same clients to each kind of gateway.
+For the same size and seed, all kinds of gateways receive the same requests from clients.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 BACKEND_SPEED_RANGE: Final = (0.85, 1.15)
 PARTITIONED_ZONE: Final = "z0"
-RESTART_DETECTION_DELAY_S: Final = 0.2  # until clients notice that a gateway is back
+RESTART_DETECTION_DELAY_S: Final = 0.2  # until clients detect that a gateway has restarted
 
 
 class Simulation:
-    """One run. It is the `Environment` of its parts.
+    """One run; implements `Environment` for its parts.
 
     Attributes:
-        gateway_up: whether each gateway runs.
-        clients: the clients of all customers.
-        attempts: the network to the backends.
-        metrics: what the run came to so far.
+        gateway_up: Whether each gateway is running, by index.
+        clients: Clients of all customers.
+        attempts: Network between gateways and backends.
+        metrics: Metrics of the run so far.
     """
 
     def __init__(
         self, size: Size, faults: Sequence[Fault], seed: int, make_gateway: GatewayFactory
     ) -> None:
-        """Draws backends and customers, and makes the gateways; `run` starts them."""
+        """Draws backends and customers, and creates the gateways; `run` starts them."""
         self.size = size
         self.faults = faults
         self.seed = seed
@@ -48,7 +48,7 @@
         self.now = 0.0
         self.scheduled_count = 0
         self.callbacks: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        # What clients send is drawn apart from what depends on the gateways.
+        # Separate generators, so that gateway behaviour does not change the requests of clients.
         self.arrival_rng = Random(f"asks {seed}")
         self.effect_rng = Random(f"world {seed}")
         self.metrics = FleetMetrics()
@@ -86,7 +86,7 @@
         return backends
 
     def run(self) -> FleetMetrics:
-        """Runs to the end; returns what it came to."""
+        """Runs the simulation to its end and returns its metrics."""
         for customer in self.customers:
             self.clients.start(customer)
             self.metrics.add_customer(customer.name, customer.plan)
@@ -102,8 +102,8 @@
         return self.metrics
 
     def schedule(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
-        """Calls back after `delay` seconds, with the time and the arguments."""
-        self.scheduled_count += 1  # keeps the order of what is due at the same time
+        """Calls `callback` with the time and the arguments after `delay` seconds."""
+        self.scheduled_count += 1  # breaks ties between callbacks that are due at one time
         due_at = self.now + max(0.0, delay)
         heapq.heappush(self.callbacks, (due_at, self.scheduled_count, callback, arguments))
 
@@ -112,20 +112,20 @@
         return f"z{gateway % self.size.zones}"
 
     def active_fault(self, kind: str) -> Fault | None:
-        """Returns the fault of a kind that lasts now."""
+        """Returns the active fault of a kind, or None."""
         for fault in self.faults:
             if fault.kind == kind and fault.start <= self.now < fault.end:
                 return fault
         return None
 
     def is_partitioned(self, gateway: int, backend: SimulatedBackend) -> bool:
-        """Returns whether nothing passes between a gateway and a backend now."""
+        """Returns whether a partition currently separates a gateway from a backend."""
         if self.active_fault("zone_cut") is None:
             return False
         return (self.zone(gateway) == PARTITIONED_ZONE) != (backend.zone == PARTITIONED_ZONE)
 
     def kill_gateway(self, index: int, restart_delay: float) -> None:
-        """Ends a gateway's process, its connections and its requests; it restarts later."""
+        """Ends a gateway's process, connections and requests; restarts it after a delay."""
         if not self.gateway_up[index]:
             return
         self.gateway_up[index] = False
@@ -151,7 +151,7 @@
         self.discovery.connect(index)
 
     def _notice_state(self, _now: float, index: int) -> None:
-        self.clients.visible_up[index] = self.gateway_up[index]
+        self.clients.considered_up[index] = self.gateway_up[index]
 
     def _restart_gateway(self, _now: float, index: int) -> None:
         self.gateway_up[index] = True
@@ -161,4 +161,4 @@
 
 
 GatewayFactory = Callable[[Simulation, int], SimulatedGateway]
-"""Makes the process of a gateway by its index, anew each time that it starts."""
+"""Creates the process of a gateway by its index, each time that the gateway starts."""
--- a/ingress/simulation/gateways.py
+++ b/ingress/simulation/gateways.py
@@ -25,11 +25,11 @@
 from ingress.simulation.size import CLASSES, PLANS, Size
 
 PolicyFactory = Callable[[Settings, int], Any]
-"""Makes a policy from its settings and a seed."""
+"""Creates a policy from its settings and a seed."""
 
 
 def settings(size: Size, index: int, zone: str) -> Settings:
-    """Returns the policy's settings for the gateway of an index."""
+    """Returns the policy settings for a gateway."""
     return Settings(
         CLASSES,
         PLANS,
@@ -50,11 +50,11 @@
 
 
 class PolicyGateway:
-    """One process of a gateway: a policy, whose actions are done in the simulation.
+    """One process of a gateway: a policy whose actions are performed in the simulation.
 
     Attributes:
-        requests_received: requests from clients.
-        attempts_sent: attempts that the policy started.
+        requests_received: Number of requests from clients.
+        attempts_sent: Number of attempts that the policy started.
     """
 
     def __init__(
@@ -71,10 +71,10 @@
         )
 
     def start(self, now: float) -> None:
-        """Needs nothing: the policy acts on events."""
+        """Does nothing: the policy only reacts to events."""
 
     def handle(self, now: float, event: Event) -> None:
-        """Gives an event to the policy unless this process has died, and does its actions."""
+        """Passes an event to the policy and performs its actions, unless this process has died."""
         if not self.is_running():
             return
         self.requests_received += isinstance(event, RequestReceived)
@@ -95,7 +95,7 @@
                     pass
 
     def is_running(self) -> bool:
-        """Returns whether this process is the gateway's present one."""
+        """Returns whether this is the current process of the gateway."""
         return self.simulation.incarnations[self.index] == self.incarnation
 
     def _respond(self, now: float, request_id: str, kind: ResponseKind, retry_after: float) -> None:
@@ -118,10 +118,14 @@
 
 
 def load_module(path: Path, name: str) -> ModuleType:
-    """Loads a policy from a file: of another revision, or with one part taken out."""
+    """Loads a policy from a file, such as another revision or a policy without one part.
+
+    Raises:
+        ImportError: The file is not a Python module.
+    """
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
-        raise ImportError(f"no Python module: {path}")
+        raise ImportError(f"not a Python module: {path}")
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     spec.loader.exec_module(module)
--- a/ingress/simulation/gossip_network.py
+++ b/ingress/simulation/gossip_network.py
@@ -1,6 +1,6 @@
-"""Gateways that gossip: the real membership and gossip bridge around each policy.
+"""Simulates gateways that gossip: each policy has the real membership and gossip bridge.
 
-A datagram takes a while, may be lost, and does not pass between partitioned zones.
+Datagrams are delayed, may be lost, and are not delivered between partitioned zones.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from ingress.simulation.gateways import PolicyGateway
 
 TICK_INTERVAL_S: Final = 0.1
-SEED_COUNT: Final = 3  # gateways that the others know at their start
-DELAY_VARIATION: Final = (0.5, 2.0)  # factors
+SEED_GATEWAY_COUNT: Final = 3  # gateways whose addresses the others have at their start
+DELAY_VARIATION: Final = (0.5, 2.0)  # range of a random factor
 
 
 class ReportedLoad(NamedTuple):
-    """What a load report tells: requests a second, and the share of capacity in use."""
+    """Contents of a load report: requests a second, and the share of the capacity in use."""
 
     offered_rate: float = 0.0
     admitted_rate: float = 0.0
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipConditions:
-    """How well gossip works.
+    """Network conditions and faults of the gossip.
 
     Attributes:
-        use_ejections: whether gateways act on what others observed of backends.
-        loss: share of the datagrams that are lost.
-        delay: mean time in seconds that a datagram takes, roughly.
-        false_reporters: how many gateways send a false load report.
-        false_report: what they send.
+        use_ejections: Whether gateways act on the ejections that their peers report.
+        loss: Share of the datagrams that are lost.
+        delay: Approximate mean delay of a datagram in seconds.
+        false_reporters: Number of gateways that send a false load report.
+        false_report: Load report that these gateways send.
     """
 
     use_ejections: bool = True
@@ -50,7 +50,7 @@
 
 
 class GossipingGateway(PolicyGateway):
-    """A gateway whose bridge does here what it does in the program."""
+    """A gateway that runs the gossip bridge of the program in the simulation."""
 
     def __init__(self, simulation: Simulation, index: int, conditions: GossipConditions) -> None:
         super().__init__(simulation, index)
@@ -61,7 +61,7 @@
             f"i{index}",
             _address(index),
             incarnation,
-            [_address(seed) for seed in range(min(SEED_COUNT, simulation.size.gateways))],
+            [_address(seed) for seed in range(min(SEED_GATEWAY_COUNT, simulation.size.gateways))],
             Random(f"talk {identity}"),
         )
         balancer = self.gateway.load_balancer
@@ -71,11 +71,11 @@
         self.network_rng = Random(f"net {identity}")
 
     def start(self, now: float) -> None:
-        """Begins to tick, at a moment of its own."""
+        """Starts the ticks after a random delay, so that gateways do not tick in step."""
         self.simulation.schedule(self.network_rng.uniform(0.0, TICK_INTERVAL_S), self._tick)
 
     def receive(self, now: float, sender: int, message: Message) -> None:
-        """Takes a message from another gateway, and sends the replies."""
+        """Handles a message from another gateway and sends the replies."""
         self._send(self.bridge.receive(now, _address(sender), message))
 
     def _tick(self, now: float) -> None:
--- a/ingress/simulation/membership_network.py
+++ b/ingress/simulation/membership_network.py
@@ -1,6 +1,7 @@
-"""Members in virtual time, over a network that loses, delays, duplicates and partitions datagrams.
+"""Runs members in virtual time, over a network that loses, delays and duplicates datagrams.
 
-The real `SwimProtocol` for up to 1,000 members, without the rest of a gateway.
+The network also simulates partitions. Runs the real `SwimProtocol` for up to 1,000 members, without
+the rest of a gateway.
 """
 
 from __future__ import annotations
@@ -18,22 +19,23 @@
 TICK_INTERVAL_S: Final = 0.1
 DELAY_RANGE_S: Final = (0.0005, 0.005)
 DUPLICATE_DELAY_RANGE_S: Final = (0.01, 2.0)
-MAX_BUFFERED_MESSAGES: Final = 64  # that a stalled member's socket holds
-SEED_COUNT: Final = 3  # members that the others know at their start
+MAX_BUFFERED_MESSAGES: Final = 64  # in the socket of a stalled member
+SEED_MEMBER_COUNT: Final = 3  # members whose addresses the others have at their start
 
 
 class MembershipNetwork:
-    """Members by index, and the datagrams between them.
+    """Members and the datagrams between them.
 
     Attributes:
-        now: virtual time in seconds.
-        members: the process of each member, or None.
-        stalled: indices of members that stand still.
-        tick_delay: by member, seconds by which each of its ticks comes later.
-        is_partitioned: tells whether nothing passes from one member to another now.
-        lost: datagrams that were lost.
-        duplicated: datagrams that came twice.
-        partitioned: datagrams that did not pass a partition.
+        now: Virtual time in seconds.
+        members: Process of each member by index; None if it is not running.
+        stalled: Indices of stalled members.
+        tick_delay: Additional seconds between the ticks of a member, by index.
+        is_partitioned: Returns whether a partition currently drops datagrams from one member to
+            another; takes the indices of sender and receiver.
+        lost: Number of datagrams that were lost.
+        duplicated: Number of datagrams that were delivered twice.
+        partitioned: Number of datagrams that a partition dropped.
     """
 
     def __init__(
@@ -46,10 +48,10 @@
         """Starts all members at once.
 
         Args:
-            count: number of members.
-            seed: of everything that is drawn.
-            loss: share of the datagrams that are lost.
-            duplication: share of the datagrams that come once more, up to 2 s later.
+            count: Number of members.
+            seed: Seed of all random generators.
+            loss: Share of the datagrams that are lost.
+            duplication: Share of the datagrams that are delivered a second time, up to 2 s later.
         """
         self.rng = Random(f"gossip {seed}")
         self.seed = seed
@@ -63,7 +65,7 @@
         self.duplicated = 0
         self.partitioned = 0
         self.is_partitioned: Callable[[int, int], bool] = lambda _sender, _receiver: False
-        self.seed_addresses = [_address(index) for index in range(min(SEED_COUNT, count))]
+        self.seed_addresses = [_address(index) for index in range(min(SEED_MEMBER_COUNT, count))]
         self.members: list[SwimProtocol | None] = [None] * count
         self.stalled: set[int] = set()
         self.buffered: dict[int, list[tuple[Address, Message]]] = {}  # by stalled member
@@ -72,7 +74,7 @@
             self.start(index)
 
     def start(self, index: int, max_format: int = 1) -> SwimProtocol:
-        """Starts a member's process, which knows nothing but the seeds."""
+        """Starts the process of a member with the addresses of the seed members only."""
         member = SwimProtocol(
             f"m{index}",
             _address(index),
@@ -87,15 +89,15 @@
         return member
 
     def kill(self, index: int) -> None:
-        """Ends a member's process."""
+        """Ends the process of a member."""
         self.members[index] = None
 
     def stall(self, index: int) -> None:
-        """Stops a member as SIGSTOP does: what arrives waits in its socket."""
+        """Stops a member as SIGSTOP does: messages to it are buffered in its socket."""
         self.stalled.add(index)
 
     def resume(self, index: int) -> None:
-        """Lets a stalled member go on: its timers and its socket are ready at once."""
+        """Resumes a stalled member; handles its overdue timers and buffered messages at once."""
         self.stalled.discard(index)
         member = self.members[index]
         if member is None:
@@ -106,7 +108,7 @@
         self._call_later(TICK_INTERVAL_S, self._tick, index, member)
 
     def run(self, seconds: float) -> None:
-        """Lets virtual time pass."""
+        """Advances virtual time by `seconds` and runs the callbacks that become due."""
         end = self.now + seconds
         while self.schedule and self.schedule[0][0] <= end:
             self.now, _, callback, arguments = heapq.heappop(self.schedule)
@@ -114,30 +116,30 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], timeout: float) -> float:
-        """Runs until a condition holds; returns the seconds that it took.
+        """Runs until a condition is true; returns the elapsed virtual seconds.
 
         Raises:
-            TimeoutError: it does not hold after `timeout` seconds.
+            TimeoutError: The condition is still false after `timeout` seconds.
         """
         started_at = self.now
         while not condition():
             if self.now - started_at > timeout:
-                raise TimeoutError(f"not within {timeout:g} s")
+                raise TimeoutError(f"condition is still false after {timeout:g} s")
             self.run(TICK_INTERVAL_S)
         return self.now - started_at
 
     def live_members(self) -> list[SwimProtocol]:
-        """Returns the members that run."""
+        """Returns the running members."""
         return [member for member in self.members if member is not None]
 
     def has_converged(self, names: set[str]) -> bool:
-        """Returns whether each member that runs sees exactly these as reachable, and is one."""
+        """Returns whether each running member is among `names` and can reach exactly the others."""
         return all(
             {member.name, *member.reachable_names()} == names for member in self.live_members()
         )
 
     def send(self, sender: int, messages: list[OutgoingMessage]) -> None:
-        """Sends a member's messages through the network."""
+        """Sends messages of a member through the network."""
         for (_, port), message in messages:
             receiver = port - 1
             if self.is_partitioned(sender, receiver):
@@ -154,7 +156,7 @@
                 self._call_later(delay, self.deliver, sender, receiver, message)
 
     def deliver(self, sender: int, receiver: int, message: Message) -> None:
-        """Hands a message to a member, or to the socket of one that is stalled."""
+        """Delivers a message to a member, or to the socket of a stalled member."""
         member = self.members[receiver] if receiver < len(self.members) else None
         if member is None:
             return
@@ -164,7 +166,7 @@
             self.send(receiver, member.receive(self.now, _address(sender), message))
 
     def _call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
-        self.scheduled_count += 1  # keeps the order of what is due at the same time
+        self.scheduled_count += 1  # breaks ties between callbacks that are due at one time
         entry = (self.now + delay, self.scheduled_count, callback, arguments)
         heapq.heappush(self.schedule, entry)
 
--- a/ingress/simulation/metrics.py
+++ b/ingress/simulation/metrics.py
@@ -224,7 +224,7 @@
             "handshakes": self.handshakes / max(1, self.attempts),
             "peak": max((backend.peak_load_ratio for backend in self.backends), default=0.0),
             "fallen": sum(backend.collapses for backend in self.backends),
-            "crowded": sum(backend.crowded_windows for backend in self.backends),
+            "crowded": sum(backend.windows_over_limit for backend in self.backends),
             "connections": max((backend.peak_connections for backend in self.backends), default=0),
             "first_crowd": max(self.first_second_attempts.values(), default=0),
             "both": self.rejected_but_served_elsewhere(),
