--- a/ingress/simulation/metrics.py
+++ b/ingress/simulation/metrics.py
@@ -1,4 +1,4 @@
-"""What a run came to, counted over the whole fleet by an observer of all requests."""
+"""Metrics of a run, counted over the whole fleet by an observer of all requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ResponseKind(Enum):
-    """How a request ended."""
+    """How a request ended for its client."""
 
     SERVED = auto()
     REJECTED = auto()
@@ -37,37 +37,40 @@
 
 @dataclass(slots=True)
 class FleetMetrics:
-    """Counts of one run. A request's value is its priority weight times its plan's price.
+    """Counts of one run. The value of a request is its priority weight times its plan's price.
 
     Attributes:
-        offered_value: of all first requests.
-        served_value: of what was served within its latency objective.
-        late_value: of what was served later, at its late priority weight.
-        value_within_quotas: of the first requests that an observer of all would have admitted.
-        over_quota_cost: value of what was sent beyond the quotas, times the plan's cost of that.
-        first_requests: requests without the clients' retries.
-        requests: all that gateways got from clients, with the clients' retries.
-        attempts: attempts at backends.
-        first_attempts: attempts without the gateways' retries.
-        over_quota_attempts: first attempts beyond a quota.
-        rejected: requests that were rejected.
-        rejected_with_quota: of these, those whose customer had half of its burst left.
-        failed: requests that failed.
-        disconnected: requests whose gateway died.
-        expired: requests that got no answer before their deadline.
-        ceiling_excess: units by which a ceiling was exceeded the furthest, beyond its slack.
-        outcomes: attempts by the name of their outcome.
-        faults: faults that began, by kind.
+        offered_value: Value of all first requests.
+        served_value: Value of the requests served within their latency objective.
+        late_value: Value of the requests served later, at their late priority weight.
+        value_within_quotas: Value of the first requests that an observer of all requests would
+            have admitted.
+        over_quota_cost: Value of the first attempts beyond a quota, times the plan's over-quota
+            cost.
+        first_requests: Requests from clients, without client retries.
+        requests: Requests from clients, with client retries.
+        attempts: Attempts at backends.
+        first_attempts: Attempts at backends, without gateway retries.
+        over_quota_attempts: First attempts beyond a quota.
+        rejected: Rejected requests.
+        rejected_with_quota: Rejected requests whose customer had at least half of its burst
+            available.
+        failed: Failed requests.
+        disconnected: Requests whose gateway died.
+        expired: Requests without a response before their deadline.
+        ceiling_excess: Maximum excess over any ceiling and its slack, in units.
+        outcomes: Number of attempts by name of their outcome.
+        faults: Number of faults that started, by kind.
         served_value_by_second: `served_value` in each second.
-        quotas: by customer, less what was sent.
-        requested_quotas: by customer, less the first requests as they came.
-        served_at: in each second, which customers were served at which gateways.
-        rejected_at: in each second, which customers were rejected at which gateways.
-        backends: each backend's own figures.
-        first_second_attempts: by backend and process, attempts in its first second.
-        worked_core_s: seconds of a core that backends worked.
-        wasted_core_s: of these, for attempts that were given up.
-        handshakes: connections that were opened.
+        quotas: Quota of each customer, after the first attempts that were sent.
+        requested_quotas: Quota of each customer, after the first requests that arrived.
+        served_at: For each second, the gateways at which each customer was served.
+        rejected_at: For each second, the gateways at which each customer was rejected.
+        backends: Statistics of each backend.
+        first_second_attempts: Attempts in the first second of each backend process.
+        worked_core_s: Core time in seconds that backends worked.
+        wasted_core_s: Core time in seconds that backends worked on abandoned attempts.
+        handshakes: Connections opened to backends.
     """
 
     offered_value: float = 0.0
@@ -102,12 +105,12 @@
     handshakes: int = 0
 
     def add_customer(self, name: str, plan: Plan) -> None:
-        """Begins to observe a customer, with full quotas."""
+        """Adds a customer with full quotas."""
         self.quotas[name] = TrueQuota(plan)
         self.requested_quotas[name] = TrueQuota(plan)
 
     def on_first_request(self, now: float, customer: Customer, request_class: RequestClass) -> None:
-        """Counts a request that a client sends for the first time."""
+        """Counts a request that is not a client retry."""
         self.first_requests += 1
         value = request_class.priority_weight * customer.plan.price
         self.offered_value += value
@@ -116,7 +119,7 @@
     def on_attempt_sent(
         self, now: float, customer: Customer, number: int, request_class: RequestClass
     ) -> None:
-        """Counts attempt `number` of a request, from 0."""
+        """Counts an attempt; `number` is its index among the attempts of the request, from 0."""
         self.attempts += 1
         if number > 0:
             return
@@ -133,12 +136,12 @@
             self.ceiling_excess = max(self.ceiling_excess, excess)
 
     def on_attempt_arrived(self, now: float, backend: SimulatedBackend) -> None:
-        """Counts an attempt that reached a backend in the first second of its process."""
+        """Counts an attempt if it arrives in the first second of a restarted backend process."""
         if 0.0 < backend.started_at <= now < backend.started_at + FIRST_SECOND_S:
             self.first_second_attempts[f"{backend.name} {backend.incarnation}"] += 1
 
     def on_attempt_ended(self, outcome: Outcome) -> None:
-        """Counts an outcome."""
+        """Counts the outcome of an attempt."""
         self.outcomes[outcome.value] += 1
 
     def on_response(
@@ -186,7 +189,7 @@
         self.rejected_at[int(now)].setdefault(customer.name, set()).add(gateway)
 
     def finish(self, backends: Iterable[SimulatedBackend]) -> None:
-        """Takes in the backends' own counts at the end of the run."""
+        """Adds the statistics of the backends at the end of the run."""
         for backend in backends:
             self.backends.append(backend.figures())
             self.worked_core_s += backend.worked_core_s
@@ -194,7 +197,10 @@
             self.handshakes += backend.handshakes
 
     def rejected_but_served_elsewhere(self) -> float:
-        """Returns the share of customers rejected in a second that another gateway served in it."""
+        """Returns the share of rejected customers that another gateway served in the same second.
+
+        Each customer counts once for each second in which it was rejected.
+        """
         rejected = 0
         served_elsewhere = 0
         for second, customers in self.rejected_at.items():
@@ -204,7 +210,7 @@
         return served_elsewhere / max(1, rejected)
 
     def figures(self) -> dict[str, float]:
-        """Returns the run's figures by stable names; values as shares of the value offered."""
+        """Returns the results of the run by stable names; `share` is that of the offered value."""
         first_requests = max(1, self.first_requests)
         first_attempts = max(1, self.first_attempts)
         requests = max(1, self.requests)
--- a/ingress/simulation/model_checker/__init__.py
+++ b/ingress/simulation/model_checker/__init__.py
@@ -1,13 +1,13 @@
-"""Model checker of the handover protocol, on the code that the program runs.
+"""Model checker for the handover protocol; it runs the production code of the protocol.
 
-Three instances, two idempotency keys, and a backend that deduplicates keys for a window, under
-loss, reordering, duplication, pauses, crashes, and restarts without records or from an old state
-of the disk.
+The model has three instances, two idempotency keys, and a backend that deduplicates keys within a
+window. Messages are lost, reordered and duplicated; instances pause, crash, and restart without
+records or from an old state of the disk.
 
-A write is a step of its own: between the decision that admits a request and its write a process may
-stall for as long as the budget of time allows, so no check of the clock protects a first write. A
-retry checks the clock as it is written. Checked: a protected request takes effect at most once;
-and after all faults are repaired, no request is postponed forever.
+A write is a separate step: between the decision that admits a request and its write, a process may
+stall for as long as the time budget allows, so no check of the clock protects a first write. A
+retry checks the clock when it is written. The checker verifies two properties: a protected request
+takes effect at most once; and after all faults are repaired, no request is postponed forever.
 """
 
 from ingress.simulation.model_checker.actions import Action, ActionKind, available_actions
--- a/ingress/simulation/model_checker/actions.py
+++ b/ingress/simulation/model_checker/actions.py
@@ -1,4 +1,4 @@
-"""What the model checker may do next in a state: the actions, and which of them are possible."""
+"""Actions of the model checker, and which of them are possible in a state."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from ingress.simulation.model_checker.state import INSTANCE_COUNT, State
 
-# Beyond a coordinator's delay, beyond the suspicion timeout, near the end of the deduplication
-# window, and far beyond it together with others.
+# Longer than a coordinator's delay; longer than the suspicion timeout; near the end of the
+# deduplication window; and far beyond that window in combination with other waits.
 WAIT_DURATIONS_S: Final = (0.06, 0.7, 3.0, 12.0)
 
 
 class ActionKind(StrEnum):
-    """What kinds of actions there are; the values are the names in traces and reports."""
+    """Kinds of actions; their values are the names in traces and reports."""
 
     DELIVER = "deliver"
-    DUPLICATE = "twice"  # deliver a message and leave it in flight
+    DUPLICATE = "twice"  # deliver a message and keep it in flight
     DROP = "drop"
     WRITE = "write"  # write an admitted request to the backend
     ANSWER = "answer"  # the backend's response arrives
@@ -34,10 +34,10 @@
     """One step of a run.
 
     Attributes:
-        kind: what happens.
-        target: index of the message in flight, of the pending write or of the instance, by kind.
-        key: the idempotency key that `OPEN` submits.
-        duration: seconds that `WAIT` lasts.
+        kind: Kind of the action.
+        target: Index of the message in flight, pending write or instance, depending on the kind.
+        key: Idempotency key that `OPEN` submits.
+        duration: Duration of `WAIT` in seconds.
     """
 
     kind: ActionKind
@@ -46,7 +46,7 @@
     duration: float = 0.0
 
     def describe(self) -> tuple[str | int | float, ...]:
-        """Returns the kind's name and the arguments that this kind has, as reports show them."""
+        """Returns the name and the arguments of the action, as reports show them."""
         name = self.kind.value
         match self.kind:
             case ActionKind.CLOSE:
@@ -59,12 +59,12 @@
                 return (name, self.target)
 
     def __str__(self) -> str:
-        """Returns the text of the action in a printed trace."""
+        """Returns the action as it appears in a printed trace."""
         return str(self.describe())
 
 
 def available_actions(state: State) -> list[Action]:
-    """Returns all actions that are possible now; seeded runs depend on their order."""
+    """Returns all possible actions; seeded runs depend on their order."""
     running = [index for index in range(INSTANCE_COUNT) if index not in state.paused]
     return [
         *_message_actions(state, running),
--- a/ingress/simulation/model_checker/command.py
+++ b/ingress/simulation/model_checker/command.py
@@ -1,4 +1,4 @@
-"""The command: searches on all CPUs, and prints what was found.
+"""Command line of the model checker: searches on all CPUs and prints the result.
 
 python -m ingress.simulation.model_checker --runs 120000
 python -m ingress.simulation.model_checker --depth 9 --states 120000
@@ -23,7 +23,7 @@
     random_runs,
 )
 
-BATCH_COUNT: Final = 64  # batches of seeds, which the CPUs share
+BATCH_COUNT: Final = 64  # batches of seeds, distributed over the CPUs
 DESCRIPTION: Final = """\
 Searches the handover protocol for duplicate effects and for requests that are postponed forever.
 
@@ -31,12 +31,12 @@
     python -m ingress.simulation.model_checker --depth 9 --states 120000
 """
 EPILOG: Final = (
-    "Status: 0, nothing found; 1, a violation, with its shortest trace; 2, bad arguments."
+    "Exit status: 0, no violation; 1, a violation, with its minimal trace; 2, invalid arguments."
 )
 
 
 def main() -> int:
-    """Runs the command; returns its exit status: 1 if a violation was found, otherwise 0."""
+    """Runs the command; returns exit status 1 if a violation is found, otherwise 0."""
     arguments = _parse_arguments()
     if arguments.depth:
         results = [breadth_first_search(arguments.depth, arguments.states)]
@@ -60,15 +60,19 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
         epilog=EPILOG,
     )
-    parser.add_argument("--runs", type=int, default=20_000, help="runs drawn from seeds")
-    parser.add_argument("--depth", type=int, default=0, help="instead, all runs to this depth")
-    parser.add_argument("--states", type=int, default=100_000, help="the most states of that")
+    parser.add_argument("--runs", type=int, default=20_000, help="number of seeded random runs")
+    parser.add_argument(
+        "--depth", type=int, default=0, help="search all runs up to this depth instead"
+    )
+    parser.add_argument(
+        "--states", type=int, default=100_000, help="maximum number of states with --depth"
+    )
     parser.add_argument("--json", action="store_true")
     return parser.parse_args()
 
 
 def _search_in_parallel(runs: int) -> list[SearchResult]:
-    """Makes the runs of the seeds below `runs`; shows on stderr how many batches are done."""
+    """Runs the seeds below `runs`; prints the number of completed batches to stderr."""
     batch_size = max(1, runs // BATCH_COUNT)
     first_seeds = range(0, runs, batch_size)
     end_seeds = [min(seed + batch_size, runs) for seed in first_seeds]
@@ -102,6 +106,6 @@
 
 
 def _print_text(total: SearchResult, trace: list[Action]) -> None:
-    summary = f"{total.runs} runs, {total.states} states: {total.violation or 'nothing found'}"
+    summary = f"{total.runs} runs, {total.states} states: {total.violation or 'no violation found'}"
     lines = [summary, *(str(action) for action in trace)]
     sys.stdout.write("\n  ".join(lines) + "\n")
--- a/ingress/simulation/model_checker/invariants.py
+++ b/ingress/simulation/model_checker/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold in each state that the model checker reaches."""
+"""Invariants of each state that the model checker reaches."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class InvariantViolationError(Exception):
-    """An invariant does not hold; the text names the key and what happened to it."""
+    """An invariant is violated; the message names the key and the violation."""
 
 
 def check_at_most_once(state: State) -> None:
-    """Checks that no protected request took effect again while its record exists.
+    """Checks that no protected request takes effect again while its record exists.
 
     Raises:
-        InvariantViolationError: a key took effect twice within `RECORD_TTL_S` seconds.
+        InvariantViolationError: A key took effect twice within `RECORD_TTL_S` seconds.
     """
     for key, times in state.backend.effects.items():
         if key in state.backend.unprotected:
--- a/ingress/simulation/model_checker/progress.py
+++ b/ingress/simulation/model_checker/progress.py
@@ -1,4 +1,4 @@
-"""Closes a run: repairs all faults and checks that no request is postponed forever."""
+"""Final check of a run: repairs all faults and verifies that no request is postponed forever."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 MAX_CLOSING_STEPS: Final = 200
 RECOVERY_STEP_S: Final = 0.5
 EXTRA_RECOVERY_STEPS: Final = 8
-MAX_REQUESTS_UNTIL_SETTLED: Final = 3
-DECISION_WAIT_S: Final = 0.06  # beyond a coordinator's delay
+MAX_REQUESTS_UNTIL_FINAL_DECISION: Final = 3
+DECISION_WAIT_S: Final = 0.06  # longer than a coordinator's delay
 
 
 def close(state: State) -> None:
-    """Ends all faults, completes what is in flight, and checks that all requests make progress.
+    """Ends all faults, completes messages and writes, and checks that all requests make progress.
 
     Raises:
-        InvariantViolationError: a request is postponed forever, or took effect more than once.
+        InvariantViolationError: A request is postponed forever, or took effect more than once.
     """
     for index in list(state.paused):
         apply(state, Action(ActionKind.RESUME, index))
@@ -40,12 +40,15 @@
         advance(state, RECOVERY_STEP_S)
     for index in range(INSTANCE_COUNT):
         for key in KEYS:
-            if not any(_settles(state, index, key) for _ in range(MAX_REQUESTS_UNTIL_SETTLED)):
-                raise InvariantViolationError(f"{key} is put off for ever at {INSTANCES[index]}")
+            if not any(
+                _gets_final_decision(state, index, key)
+                for _ in range(MAX_REQUESTS_UNTIL_FINAL_DECISION)
+            ):
+                raise InvariantViolationError(f"{key} is postponed forever at {INSTANCES[index]}")
 
 
 def _closing_step(state: State) -> Action | None:
-    """Returns what completes something in flight, or None once nothing is."""
+    """Returns the action that completes the next message or write, or None if none is pending."""
     if state.messages_in_flight:
         return Action(ActionKind.DELIVER, 0)
     for number, write in enumerate(state.writes):
@@ -56,8 +59,8 @@
     return None
 
 
-def _settles(state: State, index: int, key: str) -> bool:
-    """Returns whether a request submitted now gets a final decision."""
+def _gets_final_decision(state: State, index: int, key: str) -> bool:
+    """Submits a request; returns whether it gets a final decision."""
     postponed = reported_name(Verdict.RETRY_LATER)
     postponed_before = state.observed[postponed]
     state.budget.requests += 1
--- a/ingress/simulation/model_checker/search.py
+++ b/ingress/simulation/model_checker/search.py
@@ -1,4 +1,4 @@
-"""Searches for a violation: seeded random runs, all runs to a depth, and the shortest trace."""
+"""Searches for violations: seeded random runs, breadth-first search, and minimized traces."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 RUN_LENGTH: Final = 40  # actions
 ACTION_WEIGHTS: Final = (0.1, 1.0, 5.0)
 DELIVERY_WEIGHTS: Final = (3.0, 10.0, 30.0)
-# The order in which each run draws the weights of the kinds; deliveries are drawn after them.
+# Each run draws the weights of the kinds in this order, and the weight of deliveries last.
 WEIGHTED_KINDS: Final = (
     ActionKind.ANSWER,
     ActionKind.DROP,
@@ -37,20 +37,20 @@
 
 
 def initial_state() -> State:
-    """Returns a new state with the usual budget."""
+    """Returns a new state with the default budget."""
     return State(Budget())
 
 
 @dataclass
 class SearchResult:
-    """What a search found.
+    """Result of a search.
 
     Attributes:
-        states: how many states were reached.
-        runs: how many seeded runs were made.
-        trace: the actions that led to a violation, or nothing.
-        violation: text of the violation, or nothing.
-        observed: how often actions and verdicts came about.
+        states: Number of states reached.
+        runs: Number of seeded runs.
+        trace: Actions that led to a violation; empty if there is none.
+        violation: Message of the violation; empty if there is none.
+        observed: Counts of actions and verdicts.
     """
 
     states: int = 0
@@ -63,14 +63,14 @@
 def random_run(
     seed: int, length: int, make_state: StateFactory = initial_state, *, close: bool = True
 ) -> SearchResult:
-    """Makes one run that is drawn from a seed.
+    """Performs one random run.
 
     Args:
-        seed: the same seed gives the same run.
-        length: maximum number of actions.
-        make_state: returns the state to begin with.
-        close: whether to check at the end that no request is postponed forever. Without it the
-            actions are the same, at a quarter of the cost.
+        seed: Seed of the run; the same seed gives the same run.
+        length: Maximum number of actions.
+        make_state: Returns the initial state.
+        close: Whether to check at the end that no request is postponed forever. Without this
+            check the actions are the same, at a quarter of the cost.
     """
     rng = Random(f"walk {seed}")
     state = make_state()
@@ -97,10 +97,10 @@
 
 
 def _draw_weights(rng: Random) -> dict[ActionKind, float]:
-    """Draws how often a run prefers each kind of action.
+    """Draws the weight of each kind of action for one run.
 
-    Weights of its own for each run (swarm testing: Groce et al., 2012): of runs that do a little
-    of everything, few come far in any one direction.
+    Each run has its own weights (swarm testing: Groce et al., 2012), because a run that does a
+    little of everything rarely goes far in any one direction.
     """
     weights = {kind: rng.choice(ACTION_WEIGHTS) for kind in WEIGHTED_KINDS}
     weights[ActionKind.DELIVER] = rng.choice(DELIVERY_WEIGHTS)
@@ -118,7 +118,7 @@
 
 
 def random_runs(first_seed: int, end_seed: int) -> SearchResult:
-    """Makes the runs of the seeds from `first_seed` to before `end_seed`, to a first violation."""
+    """Runs the seeds from `first_seed` to before `end_seed`; stops at the first violation."""
     total = SearchResult()
     for seed in range(first_seed, end_seed):
         result = random_run(seed, RUN_LENGTH)
@@ -135,33 +135,33 @@
 def breadth_first_search(
     depth: int, max_states: int, make_state: StateFactory = initial_state
 ) -> SearchResult:
-    """Makes all runs of up to `depth` actions, each state once, until `max_states` were reached."""
+    """Explores runs of up to `depth` actions, each state once, until `max_states` are reached."""
     result = SearchResult()
     initial = pickle.dumps(make_state())
     queue: deque[tuple[bytes, tuple[Action, ...]]] = deque([(initial, ())])
-    known = {hash(initial)}
+    visited = {hash(initial)}
     while queue and result.states < max_states:
-        packed, trace = queue.popleft()
+        pickled, trace = queue.popleft()
         if len(trace) >= depth:
             continue
-        for action in available_actions(pickle.loads(packed)):
-            state: State = pickle.loads(packed)
+        for action in available_actions(pickle.loads(pickled)):
+            state: State = pickle.loads(pickled)
             try:
                 apply(state, action)
             except InvariantViolationError as violation:
                 result.trace = [*trace, action]
                 result.violation = str(violation)
                 return result
-            reached = pickle.dumps(state)
-            if hash(reached) not in known:
-                known.add(hash(reached))
+            successor = pickle.dumps(state)
+            if hash(successor) not in visited:
+                visited.add(hash(successor))
                 result.states += 1
-                queue.append((reached, (*trace, action)))
+                queue.append((successor, (*trace, action)))
     return result
 
 
 def replay(trace: Iterable[Action], make_state: StateFactory) -> str:
-    """Repeats a trace without its impossible actions; returns the violation, or nothing."""
+    """Replays a trace without its impossible actions; returns the violation, or an empty string."""
     state = make_state()
     try:
         for action in trace:
@@ -175,7 +175,7 @@
 
 
 def minimize_trace(trace: list[Action], make_state: StateFactory) -> list[Action]:
-    """Returns a trace that violates as well and from which no single action can be left out."""
+    """Returns a trace that still causes a violation and from which no action can be removed."""
     position = 0
     while position < len(trace):
         shorter = trace[:position] + trace[position + 1 :]
--- a/ingress/simulation/model_checker/state.py
+++ b/ingress/simulation/model_checker/state.py
@@ -1,4 +1,4 @@
-"""The state of a run of the model checker: three coordinators, their network and a backend."""
+"""State of a model checker run: three coordinators, their network and a backend."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 INSTANCE_COUNT: Final = len(INSTANCES)
 KEYS: Final = ("k1", "k2")  # idempotency keys
 START_TIME_S: Final = 100.0
-NEVER: Final = -1e18  # as a time
-# Counted in `State.observed` beside the names of actions and verdicts.
+NEVER: Final = -1e18  # time of an event that has not happened
+# Keys of `State.observed`, in addition to the names of actions and verdicts.
 RETRIES_ADMITTED: Final = "repeat"
 WRITES_EXPIRED: Final = "too late"
 
 
 @dataclass
 class Budget:
-    """How often each kind of action may happen in one run."""
+    """Number of actions of each kind that a run may still perform."""
 
     requests: int = 4
     drops: int = 2
@@ -40,7 +40,7 @@
 
 @dataclass
 class MessageInFlight:
-    """A message that was sent and not yet delivered or dropped; instances by index."""
+    """A message that is neither delivered nor dropped; sender and receiver are indices."""
 
     sender: int
     receiver: int
@@ -49,16 +49,16 @@
 
 @dataclass
 class PendingWrite:
-    """A request that an instance may write to the backend, or has written without an outcome.
+    """An admitted request that is not written to the backend yet, or has no outcome yet.
 
     Attributes:
-        instance: index of the instance.
-        incarnation: of its process that was admitted.
-        operation: the coordinator's number.
-        key: idempotency key.
-        protected: whether the replicas granted it.
-        send_before: time from which on it must not be written any more.
-        written: whether it was written.
+        instance: Index of the instance.
+        incarnation: Incarnation of the instance when the request was admitted.
+        operation: Number of the operation at the coordinator.
+        key: Idempotency key.
+        protected: Whether the replicas granted the request.
+        send_before: Time from which the request must not be written.
+        written: Whether the request was written to the backend.
     """
 
     instance: int
@@ -75,9 +75,9 @@
     """A backend that deduplicates by key for `deduplication_window` seconds.
 
     Attributes:
-        last_effect: time of the latest effect of each key.
-        effects: times of all effects of each key.
-        unprotected: keys that were written without the replicas' grant.
+        last_effect: Time of the latest effect of each key.
+        effects: Times of all effects of each key.
+        unprotected: Keys that were written without a grant of the replicas.
     """
 
     deduplication_window: float
@@ -86,14 +86,14 @@
     unprotected: set[str] = field(default_factory=set)
 
     def receive(self, now: float, key: str) -> None:
-        """Runs a request unless its key took effect within the window."""
+        """Executes a request unless its key took effect within the window."""
         if now >= self.last_effect.get(key, NEVER) + self.deduplication_window:
             self.last_effect[key] = now
             self.effects.setdefault(key, []).append(now)
 
 
 class State:
-    """The whole of a run at one moment; `pickle` copies it."""
+    """Complete state of a run at one moment; copied with `pickle`."""
 
     def __init__(self, budget: Budget, settings: CoordinatorSettings | None = None) -> None:
         self.budget = budget
@@ -103,13 +103,13 @@
             Coordinator(name, 1, INSTANCES, self.settings, self.now) for name in INSTANCES
         ]
         for coordinator in self.coordinators:
-            coordinator.replica.recovering_until = 0.0  # complete since long ago
+            coordinator.replica.recovering_until = 0.0  # recovery completed long ago
         self.messages_in_flight: list[MessageInFlight] = []
         self.writes: list[PendingWrite] = []
         self.paused: set[int] = set()
         self.backend = BackendModel(self.settings.deduplication_window)
-        self.submitted_keys: tuple[str, ...] = KEYS  # those that `OPEN` chooses from
-        self.observed: Counter[str] = Counter()  # how often actions and verdicts came about
+        self.submitted_keys: tuple[str, ...] = KEYS  # keys that `OPEN` can submit
+        self.observed: Counter[str] = Counter()  # counts of actions and verdicts
         for index, coordinator in enumerate(self.coordinators):
             for other in INSTANCES:
                 if other != INSTANCES[index]:
@@ -117,19 +117,19 @@
         self.flush()
 
     def flush(self) -> None:
-        """Takes messages and decisions from the coordinators until none has any left."""
+        """Processes messages and decisions of the coordinators until none are pending."""
         for index, coordinator in enumerate(self.coordinators):
             while coordinator.outbox or coordinator.decisions:
                 outbox, decisions = coordinator.drain()
                 for receiver, message in outbox:
                     self._send(index, INSTANCES.index(receiver), message)
                 for decision in decisions:
-                    self._take_decision(index, decision)
+                    self._apply_decision(index, decision)
         if any(coordinator.outbox for coordinator in self.coordinators):
             self.flush()
 
     def _send(self, sender: int, receiver: int, message: Message) -> None:
-        # Heartbeats and the transfer of records come at once, and not to a paused instance: only
+        # Heartbeats and record transfers are delivered at once, but not to a paused instance. Only
         # requests to replicas and their replies are reordered, lost and duplicated.
         if isinstance(message, Heartbeat | SyncRequest | SyncRecord):
             if receiver not in self.paused:
@@ -140,10 +140,10 @@
             self.messages_in_flight.append(MessageInFlight(sender, receiver, message))
 
     def deliver(self, sender: int, receiver: int, message: Message) -> None:
-        """Hands a message to its receiver now."""
+        """Delivers a message to its receiver at once."""
         self.coordinators[receiver].receive(self.now, INSTANCES[sender], message)
 
-    def _take_decision(self, index: int, decision: Decision) -> None:
+    def _apply_decision(self, index: int, decision: Decision) -> None:
         self.observed[reported_name(decision.verdict)] += 1
         if decision.verdict not in (Verdict.PROCEED, Verdict.UNPROTECTED):
             return
@@ -168,5 +168,5 @@
 
 
 def reported_name(verdict: Verdict) -> str:
-    """Returns the name under which `State.observed` counts a verdict."""
+    """Returns the key of a verdict in `State.observed`."""
     return REPORTED_VERDICTS[verdict].upper()
--- a/ingress/simulation/model_checker/transitions.py
+++ b/ingress/simulation/model_checker/transitions.py
@@ -1,4 +1,4 @@
-"""What each action does to a state."""
+"""State transitions of the model checker, one for each kind of action."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def apply(state: State, action: Action) -> None:
-    """Does an action that `available_actions` returned, and checks the state after it.
+    """Performs an action that `available_actions` returned, and checks the resulting state.
 
     Raises:
-        InvariantViolationError: a protected request took effect more than once.
+        InvariantViolationError: A protected request took effect more than once.
     """
     if action.kind is ActionKind.WRITE and _is_expired(state, action):
         _discard_expired_write(state, action)
@@ -39,13 +39,13 @@
 
 
 def advance(state: State, duration: float) -> None:
-    """Lets `duration` seconds pass at once, and then all running instances act on the time."""
+    """Advances the time by `duration` seconds in one step, then ticks all running instances."""
     state.now += duration
     tick(state)
 
 
 def tick(state: State) -> None:
-    """Lets all running instances act on the time."""
+    """Ticks all running instances at the current time."""
     for index, coordinator in enumerate(state.coordinators):
         if index not in state.paused:
             coordinator.tick(state.now)
@@ -69,7 +69,7 @@
 
 
 def _is_expired(state: State, action: Action) -> bool:
-    """Returns whether a write comes too late: a retry checks the clock as it is written."""
+    """Returns whether a write is too late: a retry checks the clock when it is written."""
     return state.now >= state.writes[action.target].send_before
 
 
@@ -128,13 +128,13 @@
 
 
 def _restart_stale(state: State, action: Action) -> None:
-    """Restarts from an old state of the disk, which claims to be the latest."""
+    """Restarts an instance from an old state of its disk that claims to be the latest."""
     state.budget.crashes -= 1
     _restart(state, action.target, stale=True)
 
 
 def _restart(state: State, index: int, *, stale: bool) -> None:
-    """Replaces the process of an instance by a new one, with stale records or with none."""
+    """Replaces the process of an instance with a new one that has stale records or none."""
     previous = state.coordinators[index]
     state.writes = [write for write in state.writes if write.instance != index]
     state.messages_in_flight = [
@@ -168,7 +168,7 @@
     for other_index, other in enumerate(state.coordinators):
         if other_index == index:
             continue
-        # The others were told of a later position than the stale store has.
+        # The other instances have received a later position than that of the stale store.
         peer = other.peers[INSTANCES[index]]
         peer.store_id = STALE_STORE_ID if stale else b""
         peer.durable_position = STALE_STORE_POSITION + 1 if stale else 0
@@ -176,7 +176,7 @@
         restarted.on_connection_change(state.now, INSTANCES[other_index], True)
 
 
-# `ActionKind.CLOSE` is many steps: `progress.close`.
+# `ActionKind.CLOSE` consists of many actions: see `progress.close`.
 TRANSITIONS: Final[dict[ActionKind, Callable[[State, Action], None]]] = {
     ActionKind.DELIVER: _deliver,
     ActionKind.DUPLICATE: _duplicate,
--- a/ingress/simulation/reference_gateways.py
+++ b/ingress/simulation/reference_gateways.py
@@ -1,4 +1,4 @@
-"""Gateways to compare the real policy with: they see what no real gateway can see."""
+"""Reference gateways to compare the real policy with; they use data that no real gateway has."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from ingress.simulation.size import CLASS_SHARES, CLASSES, PLAN_SHARES, PLANS
 from ingress.simulation.true_quota import TrueQuota
 
-TARGET_UTILIZATION: Final = 0.95  # of the capacity: the rest keeps queues short
+TARGET_UTILIZATION: Final = 0.95  # of the capacity; the rest keeps queues short
 MIN_DEMAND: Final = 1e-9  # avoids a division by zero
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Core seconds a second that requests of one value take while the load is normal."""
+    """Core seconds a second that requests of one value require under normal load."""
 
     value: float
     core_s: float
@@ -30,7 +30,8 @@
 class OmniscientGateway:
     """Sheds load with knowledge of all quotas, queues and demand.
 
-    It admits what the running backends bear, by value, and sends it to the shortest queue.
+    Admits the most valuable requests that fit the capacity of the running backends, and sends them
+    to the shortest queue.
     """
 
     def __init__(self, simulation: Simulation, index: int) -> None:
@@ -51,10 +52,10 @@
         ]
 
     def start(self, now: float) -> None:
-        """Needs nothing."""
+        """Does nothing: the gateway only reacts to requests."""
 
     def handle(self, now: float, event: Event) -> None:
-        """Decides on a request at once; other events tell it nothing new."""
+        """Handles a request at once; ignores other events."""
         if not isinstance(event, RequestReceived):
             return
         simulation = self.simulation
@@ -80,7 +81,7 @@
         return len(backend.waiting) * self.simulation.size.mean_core_s / backend.capacity(now)
 
     def _admission_probability(self, value: float, now: float) -> float:
-        """Returns the share of requests of a value that fits beside all of greater value."""
+        """Returns the share of requests of a value that fits after all more valuable requests."""
         simulation = self.simulation
         remaining = TARGET_UTILIZATION * sum(
             backend.capacity(now)
@@ -96,16 +97,20 @@
 
 
 class DelayedUse:
-    """What all gateways of a run sent, as each of them sees it: the others' use comes late."""
+    """Quota use of a run as each gateway sees it: the use by other gateways is delayed."""
 
     def __init__(self, simulation: Simulation, delay: float) -> None:
         self.delay = delay
         self.sent = deque[tuple[float, str, int]]()  # time, customer, gateway
         self.quotas = {customer.name: TrueQuota(customer.plan) for customer in simulation.customers}
-        self.recent: Counter[tuple[str, int]] = Counter()  # by customer and gateway: in `sent`
+        self.recent: Counter[tuple[str, int]] = Counter()  # in `sent`, by customer and gateway
 
     def level(self, now: float, customer: str, gateway: int) -> float:
-        """Returns a customer's quota of `delay` seconds ago, refilled, less this gateway's use."""
+        """Returns the units in a customer's quota, as a gateway sees it.
+
+        They are refilled until `now`, and reduced by all use up to `delay` seconds ago and by this
+        gateway's own use since then.
+        """
         while self.sent and self.sent[0][0] <= now - self.delay:
             sent_at, name, sender = self.sent.popleft()
             self.quotas[name].take(sent_at)
@@ -115,15 +120,15 @@
         return quota.level - self.recent[customer, gateway]
 
     def take(self, now: float, customer: str, gateway: int) -> None:
-        """Adds one unit of use."""
+        """Records one unit of use by a gateway."""
         self.sent.append((now, customer, gateway))
         self.recent[customer, gateway] += 1
 
 
 class DelayedQuotaGateway:
-    """Keeps to quotas by the fleet's use of some time ago and its own use since.
+    """Enforces quotas by the fleet's use up to `delay` seconds ago and its own use since then.
 
-    It sends to the shortest queue, which it sees as it is.
+    Sends requests to the shortest queue, whose length it knows without delay.
     """
 
     uses: ClassVar[WeakKeyDictionary[Simulation, DelayedUse]] = WeakKeyDictionary()
@@ -134,10 +139,10 @@
         self.use = self.uses.setdefault(simulation, DelayedUse(simulation, delay))
 
     def start(self, now: float) -> None:
-        """Needs nothing."""
+        """Does nothing: the gateway only reacts to requests."""
 
     def handle(self, now: float, event: Event) -> None:
-        """Decides on a request at once; other events tell it nothing new."""
+        """Handles a request at once; ignores other events."""
         if not isinstance(event, RequestReceived):
             return
         simulation = self.simulation
@@ -152,7 +157,7 @@
 
 
 def shortest_queue(simulation: Simulation, gateway: int, now: float) -> SimulatedBackend | None:
-    """Returns the reachable backend that would begin a request the soonest, or None."""
+    """Returns the reachable backend that can start another request the soonest, or None."""
     return min(
         (
             backend
--- a/ingress/simulation/requests.py
+++ b/ingress/simulation/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and their attempts at backends, as the simulation follows them."""
+"""Requests of clients and their attempts at backends."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
     """One request that a client sends, which may itself be a retry.
 
     Attributes:
-        request_id: unique in the run.
-        customer: who sends it.
-        request_class: its class.
-        core_s: seconds of a core that each attempt at it takes.
-        retry_number: how many requests of the client came before it for the same purpose.
-        sent_at: when the client sent it.
-        gateway: index of the gateway that gets it.
-        incarnation: of that gateway's process.
-        attempt_count: attempts so far.
-        answered: whether it has ended.
-        attempt: the latest attempt, while it is open.
+        request_id: ID, unique in the run.
+        customer: Customer that sends the request.
+        request_class: Class of the request.
+        core_s: Core time in seconds that each attempt takes.
+        retry_number: Number of earlier requests that this request retries.
+        sent_at: Time at which the client sent the request.
+        gateway: Index of the gateway that receives the request.
+        incarnation: Incarnation of that gateway when the request was sent.
+        attempt_count: Number of attempts so far.
+        answered: Whether the request has ended.
+        attempt: Latest attempt while it is in flight, otherwise None.
     """
 
     __slots__ = (
@@ -66,12 +66,12 @@
     """One attempt at a backend.
 
     Attributes:
-        request: what it is for.
-        number: among the request's attempts, from 0.
-        backend: where it is sent.
-        sent_at: when the gateway sent it.
-        ended: whether its outcome is known.
-        work: what the backend accepted, or None.
+        request: Request that the attempt belongs to.
+        number: Index among the attempts of the request, from 0.
+        backend: Backend that the attempt is sent to.
+        sent_at: Time at which the gateway sent the attempt.
+        ended: Whether the outcome is known.
+        work: Work sent to the backend, or None before arrival and after rejection.
     """
 
     __slots__ = ("backend", "ended", "number", "request", "sent_at", "work")
@@ -88,4 +88,4 @@
 
 
 OpenRequests = list[dict[str, Request]]
-"""By gateway and id: the requests that have not ended."""
+"""Requests that have not ended, by gateway index and request ID."""
--- a/ingress/simulation/size.py
+++ b/ingress/simulation/size.py
@@ -1,4 +1,4 @@
-"""What is simulated: the fleet's size, request classes and plans, and scenarios of faults."""
+"""Parameters of a simulation: fleet size, request classes, plans, and fault scenarios."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     ),
 )
 PLAN_SHARES = (0.37, 0.37, 0.26)  # of the first requests
-MAX_INSTANCES: Final = 1000  # gateways, or backends
+MAX_INSTANCES: Final = 1000  # limit for gateways and for backends
 SUBSET_SIZE: Final = 12  # backends that a gateway prefers
 CONNECTIONS_PER_GATEWAY: Final = 3
 MIN_CONNECTION_LIMIT: Final = 60
@@ -43,36 +43,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet and its clients. Times are in seconds.
+    """Parameters of a fleet and its clients. Times are in seconds.
 
     Attributes:
-        gateways: number of gateways.
-        backends: number of backends.
-        zones: number of zones, over which gateways and backends are spread.
-        duration: for how long clients send first requests.
-        load: core time that first requests take, as a share of the capacity of warm backends.
-        cores: of each backend.
-        mean_core_s: mean time of a core that a request takes.
-        max_queue: requests that may wait at a backend.
-        max_connections: of a backend; 0 for three for each gateway of a subset, at least 60.
-        handshake_core_s: time of a core that a new connection takes.
-        network_delay: between gateways and backends, one way.
-        cold_capacity: of a backend that has just started, as a share of a warm one's.
-        warmup_time: until a backend is warm.
-        collapse_factor: work that a warming backend bears, relative to its capacity.
-        collapse_window: over which that work is counted.
-        gateways_per_customer: how many gateways a customer's requests come to.
-        quota_use: share of its quota that a customer asks for on the mean.
-        heavy_share: share of the customers that ask for `heavy_quota_use` instead.
-        heavy_quota_use: the same, for these.
-        gateway_skew: of the weights of a customer's gateways; 0 makes them even.
-        client_retries: how often a client retries.
-        retry_after_share: share of the clients that respect Retry-After.
-        client_backoff: mean time that the others wait.
-        max_list_delay: until a watcher is told of a change to the endpoint list.
-        discovery_calls_per_s: of the discovery service; 0 for one for each gateway in 3 s.
-        counter_calls_per_s: of the counter; 0 for six for each gateway, at least 300.
-        failure_detection_delay: until clients notice that a gateway has died.
+        gateways: Number of gateways.
+        backends: Number of backends.
+        zones: Number of zones, over which gateways and backends are spread.
+        duration: Time during which clients send first requests.
+        load: Core time of the first requests, as a share of the capacity of warm backends.
+        cores: Number of cores of each backend.
+        mean_core_s: Mean core time of a request.
+        max_queue: Maximum number of queued requests at a backend.
+        max_connections: Connection limit of a backend; 0 for three connections for each gateway of
+            a subset, at least 60.
+        handshake_core_s: Core time of the handshake of a new connection.
+        network_delay: One-way delay between gateways and backends.
+        cold_capacity: Capacity of a backend that has just started, as a share of the capacity of a
+            warm backend.
+        warmup_time: Time until a backend is warm.
+        collapse_factor: Work that a warming backend can accept, relative to its capacity.
+        collapse_window: Time over which that work is counted.
+        gateways_per_customer: Number of gateways at which the requests of a customer arrive.
+        quota_use: Mean demand of a customer, as a share of its quota.
+        heavy_share: Share of the customers whose demand is `heavy_quota_use` instead.
+        heavy_quota_use: Demand of these customers, as a share of their quota.
+        gateway_skew: Skew of the weights of a customer's gateways; 0 gives equal weights.
+        client_retries: Maximum number of retries by a client.
+        retry_after_share: Share of the clients that respect Retry-After.
+        client_backoff: Mean delay before the retries of the other clients.
+        max_list_delay: Maximum delay until a watcher receives a change to the endpoint list.
+        discovery_calls_per_s: Call rate of the discovery service; 0 for one call for each gateway
+            in 3 s.
+        counter_calls_per_s: Call rate of the counter; 0 for six calls a second for each gateway, at
+            least 300.
+        failure_detection_delay: Time until clients detect that a gateway has died.
     """
 
     gateways: int = 12
@@ -108,18 +112,18 @@
         counts = (self.gateways, self.backends)
         if not all(1 <= count <= MAX_INSTANCES for count in counts) or self.load <= 0:
             raise ValueError(
-                f"size: gateways={self.gateways} and backends={self.backends} must be 1 to"
-                f" {MAX_INSTANCES}, load={self.load:g} above 0"
+                f"size: gateways={self.gateways} and backends={self.backends} must be between 1 and"
+                f" {MAX_INSTANCES}, load={self.load:g} must be positive"
             )
 
     @property
     def capacity(self) -> float:
-        """Requests a second that all backends serve when warm."""
+        """Returns the requests a second that all backends can serve when warm."""
         return self.backends * self.cores / self.mean_core_s
 
     @property
     def connection_limit(self) -> int:
-        """Connections that a backend accepts at one time."""
+        """Returns the number of connections that a backend accepts simultaneously."""
         if self.max_connections:
             return self.max_connections
         subset = min(SUBSET_SIZE, self.backends)
@@ -129,25 +133,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What goes wrong from `start` to `end`, in seconds.
+    """A fault that lasts from `start` to `end`.
 
     Attributes:
-        kind: one of
+        kind: One of
             kill: a `share` of the gateways dies at once, and restarts after `amount` seconds;
             release: a `share` of the backends is replaced by cold ones, one after another;
-            zone_lost: the backends of zone 0 die, and come back cold at `end`;
-            zone_cut: nothing passes between zone 0 and the other zones;
-            list_late: changes to the endpoint list are told `amount` seconds later;
+            zone_lost: the backends of zone 0 die, and restart cold at `end`;
+            zone_cut: a partition separates zone 0 from the other zones;
+            list_late: changes to the endpoint list are reported `amount` seconds later;
             counter_down: the counter refuses connections;
             counter_empty: the counter loses all totals;
-            load: `amount` times as many first requests;
-            slow: a `share` of the backends takes `amount` times as long;
-            hot: a `share` of all requests comes to gateway 0;
-            unsaid: a `share` of the backends is down while the endpoint list holds it as ready.
-        start: when it begins.
-        end: when it ends.
-        amount: see `kind`.
-        share: see `kind`.
+            load: clients send `amount` times as many first requests;
+            slow: work takes `amount` times as long at a `share` of the backends;
+            hot: a `share` of all requests arrives at gateway 0;
+            unsaid: a `share` of the backends is down while the endpoint list reports it as ready.
+        start: Start time in seconds.
+        end: End time in seconds.
+        amount: Depends on `kind`.
+        share: Depends on `kind`.
     """
 
     kind: str
@@ -159,17 +163,17 @@
 
 SCENARIOS: dict[str, tuple[Fault, ...]] = {
     "calm": (),
-    # Seven in ten gateways die during a release, while discovery has too many callers.
+    # 70% of the gateways die during a release, while discovery receives too many calls.
     "herd": (Fault("release", 5.0, 12.0, share=0.5), Fault("kill", 6.0, 6.0, 1.0, 0.7)),
     "zone": (Fault("zone_lost", 5.0, 10.0),),
     "join": (Fault("release", 5.0, 12.0, share=0.6),),
-    # A zone is cut off while lists come late and the counter is down.
+    # A zone is partitioned while endpoint list updates are late and the counter is down.
     "split": (
         Fault("zone_cut", 5.0, 11.0),
         Fault("list_late", 4.0, 12.0, 2.0),
         Fault("counter_down", 6.0, 10.0),
     ),
-    # A customer's gateways change as they die, some after others.
+    # The live gateways of a customer change as groups of gateways die one after another.
     "moved": (
         Fault("kill", 5.0, 5.0, 2.0, 0.3),
         Fault("kill", 9.0, 9.0, 2.0, 0.3),
--- a/ingress/simulation/true_quota.py
+++ b/ingress/simulation/true_quota.py
@@ -1,4 +1,4 @@
-"""A customer's quota and ceiling as an observer of all requests keeps them."""
+"""Exact quota and ceiling of a customer, as tracked by an observer of all requests."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from ingress.policy.settings import Plan
 
-ROUNDING: Final = 1e-9  # units
+ROUNDING: Final = 1e-9  # units; tolerance for floating-point errors
 
 
 class TrueQuota:
     """The token buckets of one customer, for the whole fleet.
 
     Attributes:
-        level: units left of the quota.
-        ceiling_level: units left below the ceiling; negative once it is exceeded.
+        level: Units available in the quota.
+        ceiling_level: Units available below the ceiling; negative if the ceiling is exceeded.
     """
 
     def __init__(self, plan: Plan) -> None:
@@ -24,7 +24,7 @@
         self.ceiling_level = plan.ceiling_burst
 
     def refill(self, now: float) -> None:
-        """Adds what has accrued until `now`, in seconds."""
+        """Adds the units accrued since the last update; `now` is in seconds."""
         elapsed = now - self.updated_at
         self.updated_at = now
         plan = self.plan
@@ -34,7 +34,11 @@
         )
 
     def take(self, now: float) -> bool:
-        """Takes one unit; returns False, and leaves the quota as it is, if none is left in it."""
+        """Takes one unit from the quota and from the ceiling.
+
+        Returns:
+            False if the quota has no unit available; only the ceiling is reduced then.
+        """
         self.refill(now)
         self.ceiling_level -= 1.0
         if self.level < 1.0 - ROUNDING:
