--- a/ingress/simulation/backend.py
+++ b/ingress/simulation/backend.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BackendFigures:
+class BackendStatistics:
     """Load statistics of a backend in a run.
 
     Attributes:
@@ -141,18 +141,18 @@
     def accept(self, now: float, work: AttemptWork) -> bool:
         """Queues an attempt; returns False and rejects the attempt if the queue is full."""
         if self.started_at > 0.0 and now < self.started_at + self.size.warmup_time:
-            self._observe_warmup(now, self._core_s_of(work))
+            self._record_warmup_work(now, self._core_s_of(work))
         if self.running >= self.size.cores and len(self.waiting) >= self.size.max_queue:
             self.rejected += 1
             return False
         self.waiting.append(work)
-        self._start_waiting(now)
+        self._start_queued_work(now)
         return True
 
     def _core_s_of(self, work: AttemptWork) -> float:
         return work.core_s + (self.size.handshake_core_s if work.on_new_connection else 0.0)
 
-    def _observe_warmup(self, now: float, core_s: float) -> None:
+    def _record_warmup_work(self, now: float, core_s: float) -> None:
         """Counts work that arrives during warm-up, and collapses if there is too much of it."""
         window_s = self.size.collapse_window
         self.recent_work.append((now, core_s))
@@ -176,7 +176,7 @@
         self.recent_work.clear()
         self.recent_core_s = 0.0
 
-    def _start_waiting(self, now: float) -> None:
+    def _start_queued_work(self, now: float) -> None:
         while self.waiting and self.running < self.size.cores:
             work = self.waiting.popleft()
             if work.abandoned:
@@ -198,7 +198,7 @@
         else:
             self.served += 1
             work.on_end(True)
-        self._start_waiting(now)
+        self._start_queued_work(now)
 
     def terminate(self) -> None:
         """Ends the process; its queued and running attempts fail."""
@@ -222,8 +222,8 @@
         self.started_at = now
         self._clear_recent_work()
 
-    def figures(self) -> BackendFigures:
+    def statistics(self) -> BackendStatistics:
         """Returns the statistics of the backend so far."""
-        return BackendFigures(
+        return BackendStatistics(
             self.peak_load_ratio, self.collapses, self.windows_over_limit, self.peak_connections
         )
--- a/ingress/simulation/client_traffic.py
+++ b/ingress/simulation/client_traffic.py
@@ -140,7 +140,7 @@
 
     def _choose_gateway(self, customer: Customer, previous: int | None) -> int:
         """Draws one of the customer's gateways; prefers live ones and avoids the previous one."""
-        rng = self.environment.effect_rng
+        rng = self.environment.fleet_rng
         gateway_count = self.environment.size.gateways
         weights = customer.gateway_weights
         gateways = [
@@ -187,7 +187,7 @@
             )
 
     def _retry_delay(self, retry_after: float) -> float:
-        rng = self.environment.effect_rng
+        rng = self.environment.fleet_rng
         size = self.environment.size
         respects_retry_after = rng.random() < size.retry_after_share
         if respects_retry_after and retry_after > 0:
--- a/ingress/simulation/discovery_service.py
+++ b/ingress/simulation/discovery_service.py
@@ -46,15 +46,15 @@
         self.rejected_calls = 0
         self.abandoned_calls = 0
 
-    def change(self, backend: SimulatedBackend, readiness: Readiness) -> None:
-        """Changes the readiness of a backend; each watcher is notified after a random delay."""
+    def set_readiness(self, backend: SimulatedBackend, readiness: Readiness) -> None:
+        """Sets the readiness of a backend; each watcher is notified after a random delay."""
         self.version += 1
         self.readiness[backend.name] = readiness
         environment = self.environment
         delay_fault = environment.active_fault("list_late")
         extra_delay = delay_fault.amount if delay_fault else 0.0
         for watcher in self.watchers.values():
-            delay = environment.effect_rng.uniform(0.1, 1.0) * environment.size.max_list_delay
+            delay = environment.fleet_rng.uniform(0.1, 1.0) * environment.size.max_list_delay
             entry = self._entry(backend)
             environment.schedule(delay + extra_delay, self._send_update, watcher, entry)
 
--- a/ingress/simulation/environment.py
+++ b/ingress/simulation/environment.py
@@ -53,7 +53,7 @@
         gateway_up: Whether each gateway is running, by index.
         incarnations: Number of times that each gateway has died, by index.
         gateways: Current or latest process of each gateway, by index.
-        effect_rng: Random generator for everything that depends on actions of gateways.
+        fleet_rng: Random generator for everything that depends on actions of gateways.
     """
 
     size: Size
@@ -63,7 +63,7 @@
     gateway_up: list[bool]
     incarnations: list[int]
     gateways: list[SimulatedGateway]
-    effect_rng: Random
+    fleet_rng: Random
 
     def schedule(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
         """Calls `callback` with the time and the arguments after `delay` seconds."""
--- a/ingress/simulation/fault_injector.py
+++ b/ingress/simulation/fault_injector.py
@@ -70,7 +70,7 @@
 
     def _sample_backends(self, count: int) -> list[SimulatedBackend]:
         backends = self.environment.backends
-        names = self.environment.effect_rng.sample(list(backends), count)
+        names = self.environment.fleet_rng.sample(list(backends), count)
         return [backends[name] for name in names]
 
     def _backend_count(self, fault: Fault) -> int:
@@ -79,7 +79,7 @@
     def _kill_gateways(self, fault: Fault) -> None:
         gateway_count = self.environment.size.gateways
         count = round(fault.share * gateway_count)
-        for index in self.environment.effect_rng.sample(range(gateway_count), count):
+        for index in self.environment.fleet_rng.sample(range(gateway_count), count):
             self.kill_gateway(index, fault.amount)
 
     def _release(self, fault: Fault, duration: float) -> None:
@@ -89,7 +89,7 @@
 
     def _drain(self, _now: float, backend: SimulatedBackend) -> None:
         backend.ready = False
-        self.discovery.change(backend, Readiness.DRAINING)
+        self.discovery.set_readiness(backend, Readiness.DRAINING)
         self.environment.schedule(DRAIN_TIME_S, self._replace, backend)
 
     def _replace(self, _now: float, backend: SimulatedBackend) -> None:
@@ -97,12 +97,12 @@
 
     def _remove(self, backend: SimulatedBackend, restart_delay: float) -> None:
         backend.terminate()
-        self.discovery.change(backend, Readiness.REMOVED)
+        self.discovery.set_readiness(backend, Readiness.REMOVED)
         self.environment.schedule(restart_delay, self._restart, backend)
 
     def _restart(self, now: float, backend: SimulatedBackend) -> None:
         backend.start(now)
-        self.discovery.change(backend, Readiness.READY)
+        self.discovery.set_readiness(backend, Readiness.READY)
 
     def _lose_zone(self, duration: float) -> None:
         for backend in self.environment.backends.values():
--- a/ingress/simulation/fleet_simulation.py
+++ b/ingress/simulation/fleet_simulation.py
@@ -50,7 +50,7 @@
         self.callbacks: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         # Separate generators, so that gateway behaviour does not change the requests of clients.
         self.arrival_rng = Random(f"asks {seed}")
-        self.effect_rng = Random(f"world {seed}")
+        self.fleet_rng = Random(f"world {seed}")
         self.metrics = FleetMetrics()
         self.backends = self._make_backends()
         self.gateway_up = [True] * size.gateways
@@ -81,7 +81,7 @@
         for index in range(self.size.backends):
             name = f"s{index}"
             zone = f"z{index % self.size.zones}"
-            speed = self.effect_rng.uniform(*BACKEND_SPEED_RANGE)
+            speed = self.fleet_rng.uniform(*BACKEND_SPEED_RANGE)
             backends[name] = SimulatedBackend(name, zone, self.size, self.schedule, speed)
         return backends
 
--- a/ingress/simulation/gossip_network.py
+++ b/ingress/simulation/gossip_network.py
@@ -84,13 +84,13 @@
         self.simulation.schedule(TICK_INTERVAL_S, self._tick)
         messages, events = self.bridge.tick(now, self.requests_received, self.attempts_sent)
         if self.index < self.conditions.false_reporters:
-            self._report_falsely(now)
+            self._set_false_report(now)
         self._send(messages)
         for event in events:
             if self.conditions.use_ejections or not isinstance(event, PeerEjections):
                 self.handle(now, event)
 
-    def _report_falsely(self, now: float) -> None:
+    def _set_false_report(self, now: float) -> None:
         load_reports = self.bridge.load_reports
         load_reports.record_own(now, *self.conditions.false_report)
         self.bridge.swim.payloads = load_reports.encode_newest(now, MAX_PAYLOADS)
--- a/ingress/simulation/membership_network.py
+++ b/ingress/simulation/membership_network.py
@@ -60,7 +60,7 @@
         self.duplication = duplication
         self.now = 0.0
         self.scheduled_count = 0
-        self.schedule: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.callbacks: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.lost = 0
         self.duplicated = 0
         self.partitioned = 0
@@ -110,8 +110,8 @@
     def run(self, seconds: float) -> None:
         """Advances virtual time by `seconds` and runs the callbacks that become due."""
         end = self.now + seconds
-        while self.schedule and self.schedule[0][0] <= end:
-            self.now, _, callback, arguments = heapq.heappop(self.schedule)
+        while self.callbacks and self.callbacks[0][0] <= end:
+            self.now, _, callback, arguments = heapq.heappop(self.callbacks)
             callback(*arguments)
         self.now = end
 
@@ -168,7 +168,7 @@
     def _call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
         self.scheduled_count += 1  # breaks ties between callbacks that are due at one time
         entry = (self.now + delay, self.scheduled_count, callback, arguments)
-        heapq.heappush(self.schedule, entry)
+        heapq.heappush(self.callbacks, entry)
 
     def _tick(self, index: int, member: SwimProtocol) -> None:
         if self.members[index] is not member or index in self.stalled:
--- a/ingress/simulation/metrics.py
+++ b/ingress/simulation/metrics.py
@@ -10,7 +10,7 @@
 
 from ingress.policy.events import Outcome
 from ingress.policy.settings import Plan, RequestClass
-from ingress.simulation.backend import BackendFigures, SimulatedBackend
+from ingress.simulation.backend import BackendStatistics, SimulatedBackend
 from ingress.simulation.environment import Customer
 from ingress.simulation.true_quota import TrueQuota
 
@@ -98,7 +98,7 @@
     requested_quotas: dict[str, TrueQuota] = field(default_factory=dict)
     served_at: defaultdict[int, GatewaysByCustomer] = field(default_factory=_by_second)
     rejected_at: defaultdict[int, GatewaysByCustomer] = field(default_factory=_by_second)
-    backends: list[BackendFigures] = field(default_factory=list)
+    backends: list[BackendStatistics] = field(default_factory=list)
     first_second_attempts: Counter[str] = field(default_factory=Counter)
     worked_core_s: float = 0.0
     wasted_core_s: float = 0.0
@@ -191,7 +191,7 @@
     def finish(self, backends: Iterable[SimulatedBackend]) -> None:
         """Adds the statistics of the backends at the end of the run."""
         for backend in backends:
-            self.backends.append(backend.figures())
+            self.backends.append(backend.statistics())
             self.worked_core_s += backend.worked_core_s
             self.wasted_core_s += backend.wasted_core_s
             self.handshakes += backend.handshakes
--- a/ingress/simulation/reference_gateways.py
+++ b/ingress/simulation/reference_gateways.py
@@ -71,7 +71,7 @@
             quota.level < 1.0
             or backend is None
             or self._queueing_time(backend, now) > request.request_class.latency_objective / 2
-            or simulation.effect_rng.random() >= probability
+            or simulation.fleet_rng.random() >= probability
         ):
             simulation.clients.respond(now, request, ResponseKind.REJECTED, 0.0)
         else:
