--- a/ingress/simulation/fault_injector.py
+++ b/ingress/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Lets the faults of a scenario begin and end."""
+"""Starts and ends the faults of a scenario."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class FaultInjector:
-    """Acts on the parts of a simulation; `kill_gateway` takes index and restart delay."""
+    """Injects faults into the parts of a simulation.
+
+    `kill_gateway` takes the index of a gateway and the delay in seconds until it restarts.
+    """
 
     def __init__(
         self,
@@ -42,7 +45,7 @@
         self.kill_gateway = kill_gateway
 
     def begin(self, now: float, fault: Fault) -> None:
-        """Begins a fault; faults that only `active_fault` tells of need nothing."""
+        """Starts a fault; requires no action for kinds that the parts query with `active_fault`."""
         duration = max(0.0, fault.end - now)
         match fault.kind:
             case "kill":
@@ -67,7 +70,7 @@
 
     def _sample_backends(self, count: int) -> list[SimulatedBackend]:
         backends = self.environment.backends
-        names = self.environment.effect_rng.sample(list(backends), count)
+        names = self.environment.fleet_rng.sample(list(backends), count)
         return [backends[name] for name in names]
 
     def _backend_count(self, fault: Fault) -> int:
@@ -76,7 +79,7 @@
     def _kill_gateways(self, fault: Fault) -> None:
         gateway_count = self.environment.size.gateways
         count = round(fault.share * gateway_count)
-        for index in self.environment.effect_rng.sample(range(gateway_count), count):
+        for index in self.environment.fleet_rng.sample(range(gateway_count), count):
             self.kill_gateway(index, fault.amount)
 
     def _release(self, fault: Fault, duration: float) -> None:
@@ -86,20 +89,20 @@
 
     def _drain(self, _now: float, backend: SimulatedBackend) -> None:
         backend.ready = False
-        self.discovery.change(backend, Readiness.DRAINING)
+        self.discovery.set_readiness(backend, Readiness.DRAINING)
         self.environment.schedule(DRAIN_TIME_S, self._replace, backend)
 
     def _replace(self, _now: float, backend: SimulatedBackend) -> None:
         self._remove(backend, RESTART_TIME_S)
 
     def _remove(self, backend: SimulatedBackend, restart_delay: float) -> None:
-        backend.die()
-        self.discovery.change(backend, Readiness.REMOVED)
+        backend.terminate()
+        self.discovery.set_readiness(backend, Readiness.REMOVED)
         self.environment.schedule(restart_delay, self._restart, backend)
 
     def _restart(self, now: float, backend: SimulatedBackend) -> None:
         backend.start(now)
-        self.discovery.change(backend, Readiness.READY)
+        self.discovery.set_readiness(backend, Readiness.READY)
 
     def _lose_zone(self, duration: float) -> None:
         for backend in self.environment.backends.values():
@@ -108,7 +111,7 @@
 
     def _stop_unannounced(self, fault: Fault, duration: float) -> None:
         for backend in self._sample_backends(max(1, self._backend_count(fault))):
-            backend.die()
+            backend.terminate()
             self.environment.schedule(duration, self._bring_up, backend)
 
     def _bring_up(self, _now: float, backend: SimulatedBackend) -> None:
@@ -116,7 +119,11 @@
         backend.ready = True
 
     def _raise_load(self, fault: Fault, duration: float) -> None:
-        """Adds one request of each customer at once, as their next arrivals are drawn already."""
+        """Raises the rate of first requests.
+
+        Schedules one extra request for each customer, because the next arrival of each customer
+        was drawn at the normal rate.
+        """
         self.clients.load_factor = fault.amount
         for customer in self.customers:
             rate = customer.request_rate * (fault.amount - 1) + MIN_RATE
