--- a/ingress/testbed/__init__.py
+++ b/ingress/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""The testbed: stand-ins, faults and an invariant checker around real instances, on loopback.
+"""The testbed: simulated peers, faults and an invariant checker for real instances on loopback.
 
-Nothing here imports the ingress: what judges it shares no code with it.
+Nothing here imports the ingress, so that the checker shares no code with the program it checks.
 """
--- a/ingress/testbed/client_codecs.py
+++ b/ingress/testbed/client_codecs.py
@@ -1,4 +1,4 @@
-"""How clients of each dialect speak: a codec for one connection, sharing no code with the ingress's own."""
+"""Client codecs, one per connection; they share no code with the codecs of the ingress."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Words:
-    """What a client asks, in no dialect's words; `wait` is seconds."""
+    """The fields of a request in any dialect; `wait` is the client's timeout in seconds."""
 
     id: str
     customer: str
@@ -31,34 +31,36 @@
 
     @property
     def solution(self) -> bytes:
-        """The same in each try of one submission."""
+        """Returns the body of a submission, the same in each of its attempts."""
         return b"a solution of " + (self.key or self.id).encode()
 
 
 @dataclass(slots=True)
-class Heard:
-    """An answer: `kind` is served, refused or failed; `wait` is when to come back, in seconds;
-    0 leaves it open."""
+class ClientResponse:
+    """A response.
+
+    `kind` is served, refused or failed; `wait` is the retry delay in seconds, 0 if none is given.
+    """
 
     kind: str
     value: bytes = b""
     wait: float = 0.0
 
 
-class Voice(Protocol):
-    """One connection's codec."""
+class ClientCodec(Protocol):
+    """The codec of one connection."""
 
     def ask(self, words: Words) -> bytes: ...
 
-    def hear(self, data: bytes) -> Heard | None:
-        """The answer, once it is whole."""
+    def hear(self, data: bytes) -> ClientResponse | None:
+        """Returns the response once it is complete, None before."""
 
-    def behind(self) -> bool:
-        """Whether bytes came behind the answer."""
+    def has_trailing_data(self) -> bool:
+        """Returns whether bytes followed the response."""
 
 
 class RespVoice:
-    """resp2-v1."""
+    """The codec of resp2-v1."""
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
@@ -79,68 +81,70 @@
         ]
         return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
-    def hear(self, data: bytes) -> Heard | None:
+    def hear(self, data: bytes) -> ClientResponse | None:
         try:
             self.reader.feed(data)
-            answer = self.reader.gets()
+            reply = self.reader.gets()
         except hiredis.HiredisError:
-            return Heard("failed")
-        return None if answer is False else self._heard(answer)
-
-    def _heard(self, answer: Any) -> Heard:
-        if isinstance(answer, list) and answer and isinstance(answer[0], bytes):
-            answer = answer[0]
-        if isinstance(answer, bytes):
-            return Heard("served", answer)
-        if isinstance(answer, hiredis.ReplyError) and str(answer).split(" ")[0] == "BUSY":
-            return Heard("refused", wait=int([*str(answer).split(" "), "0"][1]) / 1000)
-        return Heard("failed")
-
-    def behind(self) -> bool:
+            return ClientResponse("failed")
+        return None if reply is False else self._to_response(reply)
+
+    def _to_response(self, reply: Any) -> ClientResponse:
+        if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
+            reply = reply[0]
+        if isinstance(reply, bytes):
+            return ClientResponse("served", reply)
+        if isinstance(reply, hiredis.ReplyError) and str(reply).split(" ")[0] == "BUSY":
+            return ClientResponse("refused", wait=int([*str(reply).split(" "), "0"][1]) / 1000)
+        return ClientResponse("failed")
+
+    def has_trailing_data(self) -> bool:
         return bool(self.reader.has_data())
 
 
-class Resp3Voice(RespVoice):
-    """resp3-v2: HELLO 3 goes before the first request."""
+class Resp3ClientCodec(RespVoice):
+    """The codec of resp3-v2, which sends HELLO 3 before the first request."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.greeted, self.owed = False, False
+        self.hello_sent, self.hello_pending = False, False
 
     def ask(self, words: Words) -> bytes:
         data = super().ask(words)
-        if self.greeted:
+        if self.hello_sent:
             return data
-        self.greeted = self.owed = True
+        self.hello_sent = self.hello_pending = True
         return b"*2\r\n$5\r\nHELLO\r\n$1\r\n3\r\n" + data
 
-    def hear(self, data: bytes) -> Heard | None:
+    def hear(self, data: bytes) -> ClientResponse | None:
         try:
             self.reader.feed(data)
-            answer = self.reader.gets()
-            if self.owed and answer is not False:
-                self.owed = False
-                if not isinstance(answer, dict) or answer.get(b"proto") != 3:
-                    return Heard("failed")
-                answer = self.reader.gets()
+            reply = self.reader.gets()
+            if self.hello_pending and reply is not False:
+                self.hello_pending = False
+                if not isinstance(reply, dict) or reply.get(b"proto") != 3:
+                    return ClientResponse("failed")
+                reply = self.reader.gets()
         except hiredis.HiredisError:
-            return Heard("failed")
-        return None if answer is False else self._heard(answer)
+            return ClientResponse("failed")
+        return None if reply is False else self._to_response(reply)
 
-    def _heard(self, answer: Any) -> Heard:
-        return super()._heard(answer.get(b"value") if isinstance(answer, dict) else answer)
+    def _to_response(self, reply: Any) -> ClientResponse:
+        return super()._to_response(reply.get(b"value") if isinstance(reply, dict) else reply)
 
 
 def uuid_for(key: str) -> UUID:
-    """The key of a new client's submission: a random UUID as far as anyone else can tell."""
+    """Returns the key of an http-v2 submission, a UUIDv4 that looks random to everyone else."""
     return UUID(bytes=hashlib.sha256(key.encode()).digest()[:16], version=4)
 
 
-class HttpVoice:
-    """http-v2, on h11."""
+class HttpClientCodec:
+    """The codec of http-v2, based on h11."""
 
     def __init__(self) -> None:
-        self.h11: Any = importlib.import_module("h11")  # only runs with new clients need it
+        self.h11: Any = importlib.import_module(
+            "h11"
+        )  # installed only for runs with http-v2 clients
         self.http = self.h11.Connection(self.h11.CLIENT)
         self.status, self.wait, self.body = 0, 0.0, b""
 
@@ -169,7 +173,7 @@
             fields.append(("Idempotency-Key", f'"{uuid_for(words.key)}"'))
         target = f"/v2/grids/{words.request_class}" if words.safe else "/v2/solutions"
         self.status, self.wait, self.body = 0, 0.0, b""
-        made: list[bytes] = [
+        chunks: list[bytes] = [
             self.http.send(
                 self.h11.Request(
                     method="GET" if words.safe else "POST", target=target, headers=fields
@@ -178,9 +182,9 @@
             *([self.http.send(self.h11.Data(data=body))] if body else []),
             self.http.send(self.h11.EndOfMessage()),
         ]
-        return b"".join(made)
+        return b"".join(chunks)
 
-    def hear(self, data: bytes) -> Heard | None:
+    def hear(self, data: bytes) -> ClientResponse | None:
         try:
             self.http.receive_data(data)
             while True:
@@ -192,32 +196,32 @@
                 elif isinstance(event, self.h11.Data):
                     self.body += bytes(event.data)
                 elif isinstance(event, self.h11.EndOfMessage):
-                    return self._heard()
+                    return self._to_response()
                 elif not isinstance(event, self.h11.InformationalResponse):
                     return None
         except (self.h11.RemoteProtocolError, ValueError):
-            return Heard("failed")
+            return ClientResponse("failed")
 
-    def _heard(self) -> Heard:
+    def _to_response(self) -> ClientResponse:
         if self.http.our_state is self.h11.DONE and self.http.their_state is self.h11.DONE:
             self.http.start_next_cycle()
         if self.status == 429:
-            return Heard("refused", wait=self.wait)
+            return ClientResponse("refused", wait=self.wait)
         try:
             return (
-                Heard("served", base64.b64decode(json.loads(self.body)["value"]))
+                ClientResponse("served", base64.b64decode(json.loads(self.body)["value"]))
                 if self.status == 200
-                else Heard("failed")
+                else ClientResponse("failed")
             )
         except (ValueError, KeyError, TypeError):
-            return Heard("failed")
+            return ClientResponse("failed")
 
-    def behind(self) -> bool:
+    def has_trailing_data(self) -> bool:
         return bool(self.http.trailing_data[0])
 
 
-VOICES: dict[str, Callable[[], Voice]] = {
+CLIENT_CODECS: dict[str, Callable[[], ClientCodec]] = {
     "resp2-v1": RespVoice,
-    "resp3-v2": Resp3Voice,
-    "http-v2": HttpVoice,
+    "resp3-v2": Resp3ClientCodec,
+    "http-v2": HttpClientCodec,
 }
--- a/ingress/testbed/deployment.py
+++ b/ingress/testbed/deployment.py
@@ -1,19 +1,19 @@
-"""The deployment that is played: classes, plans, rules, and an instance's settings for them."""
+"""The simulated deployment: request classes, plans, limits, and the settings of each instance."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-MAX_DEADLINE_S = 3.0  # up to which a deadline puts SIGKILL off
-KILL_MARGIN_S = 0.7  # that SIGKILL leaves beyond it
+MAX_DEADLINE_S = 3.0  # longest deadline that delays SIGKILL
+KILL_MARGIN_S = 0.7  # from that deadline to SIGKILL
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; times are seconds.
+    """A class of requests; times are in seconds.
 
-    `semantics` is safe, keyed or unsafe; `window` is how long a key is remembered.
+    `semantics` is safe, keyed or unsafe; `window` is the time for which backends remember a key.
     """
 
     name: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Rates are units a second for one customer; `ceiling_rate` 0 means: no ceiling."""
+    """A quota plan; rates are units per second and customer, `ceiling_rate` 0 means no ceiling."""
 
     name: str
     share: float
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Sizes and figures of a run.
+    """Sizes and parameters of a run.
 
-    `busy` is the share of the fleet's work that the rate asks for.
+    `busy` is the share of the backends' capacity that the offered rate uses.
     """
 
     ingresses: int = 3
     servers: int = 9
-    rate: float = 75.0  # first tries a second, about within quota
+    rate: float = 75.0  # first attempts per second, about within quota
     cores: int = 2
-    queue: int = 40  # requests that wait at a server; more are turned away
+    queue: int = 40  # requests that may wait at a server, which rejects any more
     busy: float = 0.5
     max_attempts: int = 4
     drain_grace: float = 1.0
@@ -71,16 +71,16 @@
     cold_time: float = 10.0
     fall_factor: float = 2.0
     fall_time: float = 1.0
-    answer_slack: float = 0.05  # by which each time limit is longer on sockets
-    notice: float = 0.6  # s at most until a change of the list is told
-    counter_rate: float = 520.0  # calls a second, all parts together
+    answer_slack: float = 0.05  # s added to each time limit that is measured on sockets
+    notice: float = 0.6  # s, the longest delay until discovery publishes a change of the list
+    counter_rate: float = 520.0  # calls per second, over all shards
     counter_parts: int = 3
-    cores_each: float = 1.0  # told to an ingress
+    cores_each: float = 1.0  # the core limit in the configuration of each ingress
     memory_mb: int = 192
     sockets: int = 1024
-    retries: float = 0.7  # share of the clients that try again, once
-    marks: bool = False  # whether clients mark what they try again
-    keeps_connections: bool = False  # whether clients use open connections until they are closed
+    retries: float = 0.7  # share of the clients that retry, once
+    marks: bool = False  # whether clients mark their retries
+    keeps_connections: bool = False  # whether clients reuse open connections until they are closed
     classes: tuple[RequestClass, ...] = CLASSES
     plans: tuple[Plan, ...] = PLANS
     by_class: dict[str, RequestClass] = field(init=False, compare=False)
@@ -92,21 +92,21 @@
 
     @property
     def kill_after_s(self) -> float:
-        """Seconds from SIGTERM to the earliest SIGKILL."""
+        """Returns the time from SIGTERM to the earliest SIGKILL, in seconds."""
         longest = max(request_class.deadline for request_class in self.classes)
         return min(longest, MAX_DEADLINE_S) + KILL_MARGIN_S
 
     @property
     def mean_work(self) -> float:
-        """Seconds of one core that a request takes in the mean."""
+        """Returns the mean work of a request, in seconds of one core."""
         return self.busy * self.servers * self.cores / self.rate
 
     def with_(self, **changes: Any) -> Deployment:
-        """Returns the deployment with other figures."""
+        """Returns a copy of the deployment with some fields replaced."""
         return replace(self, **changes)
 
     def settings(self, number: int) -> dict[str, Any]:
-        """What ingress `number` finds in its configuration under `settings`."""
+        """Returns the `settings` section of the configuration of ingress `number`."""
         return {
             "balancers": self.ingresses,
             "self-index": number,
--- a/ingress/testbed/handover_fleet.py
+++ b/ingress/testbed/handover_fleet.py
@@ -1,4 +1,4 @@
-"""Ingresses that hand work over, with a link of the lab's on every way from one to another."""
+"""Ingresses with handover, and a link of the testbed on the path between each two of them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Crew:
-    """Gives each ingress an operator's file with [handover]; to be made before they start."""
+    """Gives each ingress an operator configuration with [handover]; create it before they start."""
 
     def __init__(
         self, world: World, folder: Path, stores: bool = False, **settings: float | bool
@@ -33,10 +33,10 @@
         keys = self.folder / "crew-keys"
         keys.touch(mode=0o600)
         keys.write_text(f"1 {secrets.token_hex(32)}\n", encoding="ascii")
-        led = {pair: await link.open(self.real[pair[1]]) for pair, link in self.links.items()}
+        linked = {pair: await link.open(self.real[pair[1]]) for pair, link in self.links.items()}
         for n, ingress in enumerate(self.ingresses):
             addresses = {
-                other.name: self.real[n] if m == n else led[n, m]
+                other.name: self.real[n] if m == n else linked[n, m]
                 for m, other in enumerate(self.ingresses)
             }
             peers = ", ".join(
@@ -58,7 +58,7 @@
         return self.folder / f"store-{number}"
 
     def part(self, one: Iterable[int], other: Iterable[int], both: bool = True) -> None:
-        """Connections from `one` to `other` are reset and refused, and back if `both`."""
+        """Resets and refuses connections from `one` group to the `other`, and back if `both`."""
         for a in one:
             for b in other:
                 if a != b:
--- a/ingress/testbed/ingresses.py
+++ b/ingress/testbed/ingresses.py
@@ -1,4 +1,4 @@
-"""Real ingress processes: started by the `run` line, told of the stand-ins, watched, and signalled."""
+"""Real ingress processes: starts, configures, monitors and signals them."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from ingress.testbed.record import Life, Record
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-READY = 20.0  # s until an ingress must have answered PING
-LAST_LINES = 5
-TOLD = 1.0  # s for a process to say what it counted
-COUNTS = b" counts "
-PLACEMENT = ": placement "  # before a decision in the log, which is written at level debug
+START_TIMEOUT_S = 20.0  # s until an ingress must have answered PING
+LAST_LINE_COUNT = 5
+COUNTS_TIMEOUT_S = 1.0  # s for a process to log its counts
+COUNTS = b" counts "  # precedes the counts in a log line
+PLACEMENT_MARKER = ": placement "  # precedes a placement decision in a log line of level debug
 
 
 class CantStart(Exception):
-    """An ingress did not come up; the text holds its last words."""
+    """An ingress did not start; the message holds its last log lines."""
 
 
-OPERATOR = """[dialects]
+OPERATOR_CONFIG = """[dialects]
 default = "resp2-v1"
 
 [dialects.kinds]
@@ -42,7 +42,10 @@
 
 
 def run_line(deploy: Path = ROOT / "deploy" / "balancer.toml") -> str:
-    """The command of one ingress.  Where the folder has no environment of its own, this program's is used."""
+    """Returns the command that starts an ingress, from the `run` line of `deploy`.
+
+    This program's interpreter replaces the one of .venv where the tree has no .venv.
+    """
     command: str = tomllib.loads(deploy.read_text(encoding="utf-8"))["run"]
     if not (ROOT / ".venv" / "bin" / "python").exists():
         command = command.replace(".venv/bin/python", sys.executable)
@@ -50,22 +53,22 @@
 
 
 def free_ports(host: str, count: int, taken: Collection[int] = ()) -> list[int]:
-    """Returns ports of an address that nobody listens at, and that are not `taken`.
+    """Returns `count` free TCP ports of an address that are not in `taken`.
 
-    All are held until the last is found: one that was let go could be found again.
+    All stay bound until the last one is found, since a released port could be returned twice.
     """
-    found: list[int] = []
+    ports: list[int] = []
     with ExitStack() as stack:
-        while len(found) < count:
+        while len(ports) < count:
             server = stack.enter_context(socket.create_server((host, 0)))
             port = server.getsockname()[1]
             if port not in taken:
-                found.append(port)
-    return found
+                ports.append(port)
+    return ports
 
 
 class Ingress:
-    """One ingress through all its processes.  It keeps name and address when it starts again."""
+    """One ingress and its successive processes, which share a name and an address."""
 
     def __init__(
         self,
@@ -79,25 +82,28 @@
         translates: bool = False,
         dialects: Iterable[str] = (),
     ) -> None:
-        """`translates`: whether it is given an operator's file, with a listener for each of `dialects`."""
+        """Creates an ingress that is not started yet.
+
+        `translates`: whether it gets an operator configuration with a listener per dialect.
+        """
         self.number, self.deployment, self.record, self.clock = number, deployment, record, clock
         self.name, self.command, self.seed, self.starts = f"ingress-{number}", command, seed, 0
-        # Its own address, so that no client's outgoing port can be the one that it comes back to.
+        # Its own address, so that no client's ephemeral port can take its port before a restart.
         self.host = host(number + 1)
         names = tuple(dialects)
         self.ports = free_ports(self.host, 1 + len(names))
-        port, *further = self.ports
+        port, *dialect_ports = self.ports
         self.address = self.host, port
         self.folder = folder / self.name
         self.folder.mkdir()
         self.log = self.folder / "log.txt"
         self.listeners = {
-            name: (self.host, port) for name, port in zip(names, further, strict=True)
+            name: (self.host, port) for name, port in zip(names, dialect_ports, strict=True)
         }
         if translates:
             path = self.folder / "ingress.toml"
             path.write_text(
-                OPERATOR
+                OPERATOR_CONFIG
                 + "".join(
                     f'\n[[listener]]\naddress = "{host}:{port}"\ndialect = "{dialect}"\n'
                     for dialect, (host, port) in self.listeners.items()
@@ -109,14 +115,14 @@
         self.life: Life | None = None
         self.is_up = False  # the process has answered a PING
         self.cpu, self.most_rss, self.files = 0.0, 0.0, 0
-        self.memory: list[tuple[float, float]] = []  # when, and MB resident
-        self.seen_cpu = 0.0  # of the process that runs, already in `cpu`
-        self.waited = 0.0  # s for which the process that runs stood ready and got no core
+        self.memory: list[tuple[float, float]] = []  # time, resident MB
+        self.sampled_cpu = 0.0  # s of the current process that `cpu` already includes
+        self.core_wait = 0.0  # s that the current process was runnable but had no core
 
     def config(
         self, discovery: tuple[str, int], counter: tuple[str, int], known: Mapping[str, Any]
     ) -> Path:
-        """Writes what the ingress is told at its start."""
+        """Writes the configuration that the ingress reads at its start, and returns its path."""
         d, path = self.deployment, self.folder / "config.json"
         self.starts += 1
         path.write_text(
@@ -146,7 +152,7 @@
         await self._wait_until_up()
 
     async def spawn(self, config: Path) -> None:
-        """Starts a process."""
+        """Starts a process without waiting until it is up."""
         self.is_up = False
         env = os.environ | {
             "EDGE_CONFIG": str(config),
@@ -165,12 +171,12 @@
                 stderr=log,
                 start_new_session=True,
             )
-        self.life, self.seen_cpu, self.waited = Life(self.number, self.clock()), 0.0, 0.0
+        self.life, self.sampled_cpu, self.core_wait = Life(self.number, self.clock()), 0.0, 0.0
         self.record.lives.append(self.life)
 
     async def _wait_until_up(self) -> None:
         assert self.process is not None
-        for _ in range(int(READY / 0.02)):
+        for _ in range(int(START_TIMEOUT_S / 0.02)):
             if self.process.returncode is not None:
                 break
             if await self._pings():
@@ -178,13 +184,15 @@
                 return
             await asyncio.sleep(0.02)
         raise CantStart(
-            f"{self.name} at {self.address[0]}:{self.address[1]} did not come up:\n"
+            f"{self.name} at {self.address[0]}:{self.address[1]} did not start:\n"
             + "\n".join(self.last_lines())
         )
 
     def last_lines(self) -> Sequence[str]:
         with contextlib.suppress(OSError):
-            return self.log.read_text(encoding="utf-8", errors="replace").splitlines()[-LAST_LINES:]
+            return self.log.read_text(encoding="utf-8", errors="replace").splitlines()[
+                -LAST_LINE_COUNT:
+            ]
         return ()
 
     async def _pings(self) -> bool:
@@ -201,16 +209,16 @@
                 writer.close()
 
     async def watch(self) -> None:
-        """Returns when the process has gone, and notes how."""
+        """Waits until the process has ended, and records how it ended."""
         assert self.process is not None and self.life is not None
         code = await self.process.wait()
-        # A kill was noted as it was sent: a busy machine tells of the end late.
+        # SIGKILL records the time when it is sent, as a busy machine reports the exit late.
         self.life.down = min(self.life.down, self.clock())
         if self.life.how in ("", "term"):
             self.life.how = "ended" if self.life.how == "term" and code == 0 else "crashed"
 
     def signal(self, number: int, how: str | None = None) -> None:
-        """Sends a signal to the process that the run line became."""
+        """Sends a signal to the process; `how` records the expected kind of end."""
         if self.process is not None and self.process.returncode is None and self.life is not None:
             if how is not None:
                 self.life.how = how
@@ -219,44 +227,46 @@
             self.process.send_signal(number)
 
     def sample(self) -> None:
-        """Reads CPU, memory, files and the time for which it waited for a core."""
+        """Samples CPU, memory, open files and the time spent waiting for a core."""
         if self.process is None or self.process.returncode is not None:
             return
         folder, now = Path(f"/proc/{self.process.pid}"), self.clock()
         try:
             times = (folder / "schedstat").read_text().split()
-            cpu, waited = int(times[0]) / 1e9, int(times[1]) / 1e9
+            cpu, core_wait = int(times[0]) / 1e9, int(times[1]) / 1e9
             rss = (
                 int((folder / "statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
             )
             self.files = len(list((folder / "fd").iterdir()))
         except (OSError, IndexError, ValueError):
             return
-        self.cpu += cpu - self.seen_cpu
-        self.most_rss, self.seen_cpu = max(self.most_rss, rss), cpu
+        self.cpu += cpu - self.sampled_cpu
+        self.most_rss, self.sampled_cpu = max(self.most_rss, rss), cpu
         self.memory.append((now, rss))
-        if waited > self.waited:
-            self.record.starved.append((now, self.number, waited - self.waited))
-        self.waited = waited
+        if core_wait > self.core_wait:
+            self.record.starved.append((now, self.number, core_wait - self.core_wait))
+        self.core_wait = core_wait
 
     def placements(self) -> list[dict[str, Any]]:
-        """Where its processes placed idempotent requests, if they logged that."""
-        found: list[dict[str, Any]] = []
+        """Returns where its processes placed idempotent requests, if they logged that."""
+        rows: list[dict[str, Any]] = []
         with contextlib.suppress(OSError):
             for line in self.log.read_text(encoding="utf-8", errors="replace").splitlines():
-                _, is_placement, text = line.partition(PLACEMENT)
+                _, is_placement, text = line.partition(PLACEMENT_MARKER)
                 if is_placement:
-                    found.append(json.loads(text) | {"ingress": self.number})
-        return found
+                    rows.append(json.loads(text) | {"ingress": self.number})
+        return rows
+
+    async def request_counts(self) -> dict[str, Any]:
+        """Requests the process's counts with SIGUSR1 at the end of the run; empty if it logs none.
 
-    async def told(self) -> dict[str, Any]:
-        """What the process says of itself when it is asked by a signal at the run's end; nothing if it does
-        not.  An older one knows no such signal, and ends by it: that is no crash."""
+        Older versions have no handler for the signal and end; that does not count as a crash.
+        """
         if self.process is None or self.process.returncode is not None or self.life is None:
             return {}
         self.life.how = self.life.how or "closed"
         self.signal(signal.SIGUSR1)
-        for _ in range(int(TOLD / 0.02)):
+        for _ in range(int(COUNTS_TIMEOUT_S / 0.02)):
             with contextlib.suppress(OSError, ValueError):
                 line = self.log.read_bytes().rpartition(COUNTS)[2]
                 if line.endswith(b"\n") and line.startswith(b"{"):
@@ -266,7 +276,7 @@
         return {}
 
     async def end(self) -> None:
-        """Ends the process, if there is one, whatever it does."""
+        """Kills the process group, if the process is still running."""
         if self.life is not None and not self.life.how:
             self.life.how = "closed"
         if self.process is not None and self.process.returncode is None:
--- a/ingress/testbed/load_generator.py
+++ b/ingress/testbed/load_generator.py
@@ -1,4 +1,4 @@
-"""Customers in processes of their own, on the lab's clock, so that it is the ingress that is measured."""
+"""Clients in separate processes on the testbed's clock, so that they do not limit the load."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.record import Record
 
-EACH = 500.0  # first tries a second that one process of clients is given at most
-MOST = 8  # processes
-TELL = 0.1  # s between looks at what the other side is to know
-PROBE = 0.05  # s between looks at a process's own lateness
+MAX_RATE_PER_PROCESS = 500.0  # first attempts per second that one client process generates at most
+MAX_PROCESSES = 8  # client processes
+ROUTE_UPDATE_INTERVAL_S = 0.1  # s between checks for route changes to send to the client processes
+LAG_PROBE_INTERVAL_S = 0.05  # s between samples of a process's scheduling delay
 Address = tuple[str, int]
 
 
 @dataclass(slots=True)
-class Part:
-    """What one process saw."""
+class ProcessRecord:
+    """The record of one client process."""
 
     record: Record = field(default_factory=Record)
     asked: list[tuple[float, str, str, str, float]] = field(default_factory=list)
@@ -37,30 +37,33 @@
     behind: float = 0.0
 
 
-def processes(rate: float) -> int:
-    """How many processes of clients a rate is given."""
-    return min(MOST, max(1, -(-int(rate) // int(EACH))))
+def process_count(rate: float) -> int:
+    """Returns the number of client processes for a rate."""
+    return min(MAX_PROCESSES, max(1, -(-int(rate) // int(MAX_RATE_PER_PROCESS))))
 
 
-def listen(
-    connection: Connection, loop: asyncio.AbstractEventLoop, heard: Callable[[Any], None]
+def receive_messages(
+    connection: Connection, loop: asyncio.AbstractEventLoop, on_message: Callable[[Any], None]
 ) -> None:
-    """Calls `heard` in the loop with each thing that comes, at the end with None.  A thread reads, since what
-    comes may be large; it ends with the connection and keeps no process alive."""
+    """Calls `on_message` in the loop with each received message, and with None at the end.
+
+    A daemon thread reads, since messages may be large; it ends with the connection and keeps no
+    process alive.
+    """
 
     def read() -> None:
-        with contextlib.suppress(RuntimeError):  # the loop is closed: the run is over
+        with contextlib.suppress(RuntimeError):  # the loop is closed after the run
             try:
                 while True:
-                    loop.call_soon_threadsafe(heard, connection.recv())
+                    loop.call_soon_threadsafe(on_message, connection.recv())
             except (EOFError, OSError):
-                loop.call_soon_threadsafe(heard, None)
+                loop.call_soon_threadsafe(on_message, None)
 
     threading.Thread(target=read, daemon=True).start()
 
 
-class Crowd:
-    """Stands where `Customers` stands: the same figures, from several processes."""
+class ClientProcesses:
+    """Replaces `Customers`: the same interface and results, from several processes."""
 
     def __init__(
         self,
@@ -76,73 +79,78 @@
         self.doors = [Door() for _ in range(deployment.ingresses)]
         self.asked: list[tuple[float, str, str, str, float]] = []
         self.not_taken, self.most_lines, self.behind = 0, 0, 0.0
-        self.seen = [(0, 0)] * count  # tries and open ones, as each process told last
-        self.parts: dict[int, Part] = {}
-        self.over = asyncio.Event()
+        self.progress = [(0, 0)] * count  # attempts and open requests last reported by each process
+        self.parts: dict[int, ProcessRecord] = {}
+        self.finished = asyncio.Event()
         context = multiprocessing.get_context("spawn")
-        self.members: list[tuple[Any, Connection]] = []
+        self.processes: list[tuple[Any, Connection]] = []
         share = replace(deployment, rate=deployment.rate / count)
         for n in range(count):
             ours, theirs = context.Pipe()
             process = context.Process(
-                target=work, daemon=True, args=(theirs, share, zero, f"{seed} {n}", dict(dialects))
+                target=run_client_process,
+                daemon=True,
+                args=(theirs, share, zero, f"{seed} {n}", dict(dialects)),
             )
             process.start()
             theirs.close()
-            self.members.append((process, ours))
-            listen(ours, self.loop, partial(self._heard, n))
+            self.processes.append((process, ours))
+            receive_messages(ours, self.loop, partial(self._on_message, n))
 
     @property
     def tries(self) -> int:
-        return sum(tries for tries, _ in self.seen)
+        return sum(tries for tries, _ in self.progress)
 
     @property
     def open(self) -> int:
-        return sum(count for _, count in self.seen)
+        return sum(count for _, count in self.progress)
 
-    def _heard(self, number: int, told: Any) -> None:
-        """What a process said; None when it is gone."""
-        if told is None:
+    def _on_message(self, number: int, message: Any) -> None:
+        """Handles a message of a process; None: the process has ended."""
+        if message is None:
             if number not in self.parts:
-                self.over.set()  # it ended before it handed in what it saw
-        elif isinstance(told, Part):
-            self.parts[number] = told
+                self.finished.set()  # it ended without sending its record
+        elif isinstance(message, ProcessRecord):
+            self.parts[number] = message
         else:
-            self.seen[number] = told
-        if len(self.parts) == len(self.members):
-            self.over.set()
+            self.progress[number] = message
+        if len(self.parts) == len(self.processes):
+            self.finished.set()
 
-    def _tell(self, *words: Any) -> None:
-        for _, connection in self.members:
+    def _broadcast(self, *message: Any) -> None:
+        for _, connection in self.processes:
             with contextlib.suppress(OSError):
-                connection.send(words)
+                connection.send(message)
 
     def surge(self, plan: str, factor: float) -> None:
-        self._tell("surge", plan, factor)
+        self._broadcast("surge", plan, factor)
 
     def shift(self, share: float) -> None:
-        self._tell("shift", share)
-
-    async def come(self, seconds: float) -> None:
-        """First tries for so long; returns when all is over and every process has handed in what it saw."""
-        self._tell("doors", [(door.addresses, door.until) for door in self.doors])
-        self._tell("come", seconds)
-        told = [door.until for door in self.doors]
-        while not self.over.is_set():
+        self._broadcast("shift", share)
+
+    async def generate_load(self, seconds: float) -> None:
+        """Sends first attempts for `seconds`; returns when every process has sent its record.
+
+        Raises RuntimeError if a process ends without one.
+        """
+        self._broadcast("doors", [(door.addresses, door.until) for door in self.doors])
+        self._broadcast("come", seconds)
+        sent = [door.until for door in self.doors]
+        while not self.finished.is_set():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.over.wait(), TELL)
-            if told != (told := [door.until for door in self.doors]):
-                self._tell("doors", [(door.addresses, door.until) for door in self.doors])
-        if len(self.parts) < len(self.members):
-            raise RuntimeError("a process of clients ended by itself")
+                await asyncio.wait_for(self.finished.wait(), ROUTE_UPDATE_INTERVAL_S)
+            if sent != (sent := [door.until for door in self.doors]):
+                self._broadcast("doors", [(door.addresses, door.until) for door in self.doors])
+        if len(self.parts) < len(self.processes):
+            raise RuntimeError("a client process ended unexpectedly")
         self._merge()
 
     def _merge(self) -> None:
-        """One record: the first tries numbered anew in the order of their times."""
+        """Merges the records into one and renumbers the first attempts in order of time."""
         asked = sorted(
             (row, part, n)
-            for part, found in self.parts.items()
-            for n, row in enumerate(found.asked)
+            for part, record in self.parts.items()
+            for n, row in enumerate(record.asked)
         )
         numbers = {(part, n): number for number, (_, part, n) in enumerate(asked)}
         self.asked = [row for row, _, _ in asked]
@@ -158,42 +166,42 @@
         self.record.lags.sort()
 
     def close(self) -> None:
-        for process, connection in self.members:
+        for process, connection in self.processes:
             process.terminate()
             process.join(2.0)
             connection.close()
 
 
-def work(
+def run_client_process(
     connection: Connection,
     deployment: Deployment,
     zero: float,
     seed: str,
     dialects: dict[str, float],
 ) -> None:
-    """One process of clients; its end is the connection's."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the lab itself ends it
+    """Runs one client process until its connection ends."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the testbed ends it
     try:
         import uvloop
 
-        uvloop.run(_work(connection, deployment, zero, seed, dialects))
+        uvloop.run(_run_client_process(connection, deployment, zero, seed, dialects))
     except (EOFError, OSError):
-        pass  # the lab went away
+        pass  # the testbed has ended
 
 
-async def _work(
+async def _run_client_process(
     connection: Connection,
     deployment: Deployment,
     zero: float,
     seed: str,
     dialects: dict[str, float],
 ) -> None:
-    part, loop = Part(), asyncio.get_running_loop()
+    part, loop = ProcessRecord(), asyncio.get_running_loop()
     customers = Customers(deployment, part.record, lambda: time.monotonic() - zero, seed, dialects)
-    coming: asyncio.Future[float] = loop.create_future()
+    duration: asyncio.Future[float] = loop.create_future()
 
-    def heard(told: Any) -> None:
-        match told:
+    def on_message(message: Any) -> None:
+        match message:
             case "doors", rows:
                 for door, (addresses, until) in zip(customers.doors, rows, strict=True):
                     door.addresses, door.until = addresses, until
@@ -202,22 +210,22 @@
             case "shift", share:
                 customers.shift(share)
             case "come", seconds:
-                coming.set_result(seconds)
+                duration.set_result(seconds)
             case None:
-                os._exit(1)  # the lab went away: nobody is left to tell
+                os._exit(1)  # the testbed has ended, so there is no process to report to
 
-    async def tell() -> None:
+    async def report_progress() -> None:
         while True:
-            at = loop.time() + PROBE
-            await asyncio.sleep(PROBE)
+            at = loop.time() + LAG_PROBE_INTERVAL_S
+            await asyncio.sleep(LAG_PROBE_INTERVAL_S)
             part.record.lags.append((customers.clock(), max(0.0, loop.time() - at)))
             connection.send((len(part.record.tries), customers.open))
 
-    listen(connection, loop, heard)
-    seconds = await coming
-    telling = loop.create_task(tell())
-    await customers.come(seconds)
-    telling.cancel()
+    receive_messages(connection, loop, on_message)
+    seconds = await duration
+    report_task = loop.create_task(report_progress())
+    await customers.generate_load(seconds)
+    report_task.cancel()
     part.asked, part.not_taken = customers.asked, customers.not_taken
     part.most_lines, part.behind = customers.most_lines, customers.behind
     customers.close()
--- a/ingress/testbed/signal_series.py
+++ b/ingress/testbed/signal_series.py
@@ -1,4 +1,4 @@
-"""Signals that come in series, and crowds of clients: what the soak does to ingresses."""
+"""Faults of the soak test: series of signals to an ingress, and crowds of clients."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     from ingress.testbed.ingresses import Ingress
     from ingress.testbed.world import World
 
-RELOAD_IN_EFFECT_S = 4.0  # from SIGHUP until its configuration counts
+RELOAD_TIMEOUT_S = 4.0  # from SIGHUP until the new configuration must be in effect
 PING = b"*1\r\n$4\r\nPING\r\n"
-ANSWER_TIMEOUT_S = 1.0
+CLIENT_TIMEOUT_S = 1.0
 
 
 class SignalSeries:
-    """Plays the faults of one ingress that are made of signals."""
+    """Injects the faults of one ingress that consist of signals."""
 
     def __init__(self, world: World, ingress: Ingress) -> None:
         self.world = world
         self.ingress = ingress
 
     async def play(self, fault: Fault) -> None:
-        """Plays a fault, unless the ingress is not up, or about to go.
+        """Injects a fault, unless the ingress is not up or is already terminating.
 
-        A signal to a process that has not begun to run the program ends it, whatever that does.
+        A process that has no signal handlers yet is terminated by any signal, so it gets none.
         """
         life = self.ingress.life
         if life is None or life.how or not self.ingress.is_up:
@@ -58,7 +58,7 @@
             await asyncio.sleep(gap_s)
 
     async def _reload(self, count: int, gap_s: float) -> None:
-        """Moves discovery with each SIGHUP; the last address has to be used in time."""
+        """Moves discovery with each SIGHUP, and checks that the last address is polled in time."""
         life = self.ingress.life
         assert life is not None
         port = 0
@@ -66,17 +66,17 @@
             port = await self._move_discovery()
             self.ingress.signal(signal.SIGHUP)
             await asyncio.sleep(gap_s)
-        await asyncio.sleep(RELOAD_IN_EFFECT_S)
+        await asyncio.sleep(RELOAD_TIMEOUT_S)
         agent = self.world.agents[self.ingress.number]
         is_same_process = self.ingress.life is life and not life.how
         is_reachable = not agent.fault and f"{self.ingress.name}>list" not in self.world.links
         if is_same_process and not life.pauses and is_reachable and port not in agent.polled_ports:
             self.world.crashes.append(
-                f"{self.ingress.name} did not take over the last of {count} configurations"
+                f"{self.ingress.name} did not apply the last of {count} configurations"
             )
 
     async def _move_discovery(self) -> int:
-        """Opens another address of the agent, and writes a configuration with it; its port."""
+        """Moves the agent to a new address, writes the configuration and returns the new port."""
         name = f"{self.ingress.name}>list"
         address = await self.world.agents[self.ingress.number].open()
         if name in self.world.links:
@@ -108,19 +108,19 @@
         await self.world.start(ingress)
 
 
-async def play_crowd(address: tuple[str, int], fault: Fault) -> None:
-    """Connects clients that nobody judges."""
+async def inject_crowd(address: tuple[str, int], fault: Fault) -> None:
+    """Connects clients that the invariant checker ignores."""
     if fault.kind == "idle_clients":
         await _stay_idle(address, int(fault.figures["count"]), fault.figures["seconds"])
     else:
-        await _knock(address, fault.figures["ms"] / 1000, fault.figures["seconds"])
+        await _ping_repeatedly(address, fault.figures["ms"] / 1000, fault.figures["seconds"])
 
 
 async def _stay_idle(address: tuple[str, int], count: int, seconds: float) -> None:
     writers: list[asyncio.StreamWriter] = []
     for _ in range(count):
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(*address)
                 writers.append(writer)
     await asyncio.sleep(seconds)
@@ -128,11 +128,11 @@
         writer.close()
 
 
-async def _knock(address: tuple[str, int], gap_s: float, seconds: float) -> None:
+async def _ping_repeatedly(address: tuple[str, int], gap_s: float, seconds: float) -> None:
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address)
                 writer.write(PING)
                 await reader.readline()
--- a/ingress/testbed/soak.py
+++ b/ingress/testbed/soak.py
@@ -1,7 +1,7 @@
-"""Drawn runs, many of them: signals in series, crowds, and clients that use each open connection.
+"""Soak test: many random runs with series of signals, crowds of clients and reused connections.
 
-In each run clients go on using open connections after SIGTERM, and SIGKILL comes at the earliest
-that is allowed. The seed alone decides what is played.
+In each run clients keep using open connections after SIGTERM, and SIGKILL is sent at the earliest
+allowed time. The same seed and length always give the same scenario.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 from ingress.testbed.scenario import Fault, Scenario, draw
 from ingress.testbed.world import standing
 
-BROKEN = 1
-BAD_USE = 2
+RULE_BROKEN = 1
+USAGE_ERROR = 2
 NO_VERDICT = 4
 INTERRUPTED = 130
-DEADLINES_S = (0.8, 1.5, 2.0, 3.0, 4.0)  # one is drawn for the longest
-OTHER_FAULTS = 2
-SIGNAL_SERIES = 4
-GENERATION_CHANGES = 3
-CROWD_SOCKETS = 160  # descriptors of an ingress in runs with a crowd
-IDLE_CLIENTS = 200.0
+DEADLINES_S = (0.8, 1.5, 2.0, 3.0, 4.0)  # choices for the longest deadline of a run
+OTHER_FAULT_COUNT = 2
+SIGNAL_SERIES_COUNT = 4
+GENERATION_CHANGE_COUNT = 3
+CROWD_SOCKETS = 160  # file descriptors per ingress in runs with a crowd
+IDLE_CLIENT_COUNT = 200.0
 SHARE_WITH_CROWD = 0.4
 SHARE_WITH_GENERATIONS = 0.4
-FIRST_FAULT_SHARE = 0.05  # of the run, before which no fault comes
-# The invariant checker counts a client's time from its last byte, which such a link holds back.
-LINK_DELAYS = ("delay", "dribble")
-LAST_FAULT_SHARE = 0.6  # reloads are checked 4 s later
+FIRST_FAULT_SHARE = 0.05  # share of the run before the first fault
+# The invariant checker measures from the client's last byte, which these faults delay on the link.
+DELAYING_LINK_FAULTS = ("delay", "dribble")
+LAST_FAULT_SHARE = 0.6  # share of the run before the last fault, as reloads are checked 4 s later
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What became of one run, which was played `attempts` times until there was a verdict."""
+    """The result of one run, which was repeated until it had a verdict, `attempts` times in all."""
 
     seed: int
     judged: bool
@@ -57,18 +57,18 @@
 
     @property
     def is_broken(self) -> bool:
-        """Whether a rule broke or an ingress crashed."""
+        """Returns whether a rule was broken or an ingress crashed."""
         return bool(self.breaches or self.crashes)
 
     def describe(self) -> str:
-        """Returns a line of the table."""
+        """Returns one line of the printed report."""
         verdict = "BROKEN" if self.is_broken else "kept" if self.judged else "no verdict"
-        again = f", played {self.attempts} times" if self.attempts > 1 else ""
-        return f"seed {self.seed:<8} {verdict:<10} {self.served} of {self.tries} served{again}"
+        repeats = f", run {self.attempts} times" if self.attempts > 1 else ""
+        return f"seed {self.seed:<8} {verdict:<10} {self.served} of {self.tries} served{repeats}"
 
 
 def draw_deployment(rng: random.Random, with_crowd: bool) -> Deployment:
-    """Draws the longest deadline, and room for a crowd."""
+    """Draws a deployment with a random longest deadline, and few file descriptors with a crowd."""
     longest = rng.choice(DEADLINES_S)
     classes = tuple(
         replace(
@@ -94,34 +94,34 @@
 def draw_fault(
     rng: random.Random, kinds: Sequence[str], seconds: float, deployment: Deployment
 ) -> Fault:
-    """Draws one fault out of some kinds."""
+    """Draws one fault of one of the given kinds."""
     kind = rng.choice(kinds)
-    strikes = KINDS[kind].strikes
-    count = deployment.ingresses if strikes == "ingress" else deployment.servers
+    target_type = KINDS[kind].target_type
+    count = deployment.ingresses if target_type == "ingress" else deployment.servers
     figures = {
-        key: round(min(most, max(least, usual * rng.uniform(0.0, 2.0))), 3)
-        for key, (usual, least, most) in KINDS[kind].figures.items()
+        key: round(min(maximum, max(minimum, default * rng.uniform(0.0, 2.0))), 3)
+        for key, (default, minimum, maximum) in KINDS[kind].figures.items()
     }
     if "count" in figures:
-        figures["count"] = IDLE_CLIENTS if kind == "idle_clients" else round(figures["count"])
+        figures["count"] = IDLE_CLIENT_COUNT if kind == "idle_clients" else round(figures["count"])
     at = rng.uniform(FIRST_FAULT_SHARE, LAST_FAULT_SHARE) * seconds
-    return Fault(round(at, 2), kind, f"{strikes}-{rng.randrange(count)}", figures)
+    return Fault(round(at, 2), kind, f"{target_type}-{rng.randrange(count)}", figures)
 
 
 def draw_run(seed: int, seconds: float) -> Scenario:
-    """Draws a run: the same for the same seed and length."""
+    """Returns a random scenario, the same one for the same seed and length."""
     rng = random.Random(f"soak {seed}")
     with_crowd = rng.random() < SHARE_WITH_CROWD
     with_generations = rng.random() < SHARE_WITH_GENERATIONS
     deployment = draw_deployment(rng, with_crowd)
     faults = [
         fault
-        for fault in draw(seed, seconds, deployment, OTHER_FAULTS).faults
-        if not (fault.kind in LINK_DELAYS and fault.target.startswith("clients>"))
+        for fault in draw(seed, seconds, deployment, OTHER_FAULT_COUNT).faults
+        if not (fault.kind in DELAYING_LINK_FAULTS and fault.target.startswith("clients>"))
     ]
-    kinds: list[Sequence[str]] = [SIGNAL_KINDS] * SIGNAL_SERIES
+    kinds: list[Sequence[str]] = [SIGNAL_KINDS] * SIGNAL_SERIES_COUNT
     kinds += [CROWD_KINDS] * (2 * with_crowd)
-    kinds += [GENERATION_KINDS] * (GENERATION_CHANGES * with_generations)
+    kinds += [GENERATION_KINDS] * (GENERATION_CHANGE_COUNT * with_generations)
     faults += [draw_fault(rng, choice, seconds, deployment) for choice in kinds]
     faults.sort(key=lambda fault: fault.at)
     generations = (
@@ -134,8 +134,8 @@
     )
 
 
-async def play(seed: int, seconds: float, command: str | None) -> SoakResult:
-    """Plays one run."""
+async def run_seed(seed: int, seconds: float, command: str | None) -> SoakResult:
+    """Runs the scenario of one seed in this process."""
     scenario = draw_run(seed, seconds)
     async with standing(scenario, command) as world:
         await world.play()
@@ -153,7 +153,7 @@
 
 
 class Soak:
-    """Plays many runs, some at a time, each in a process of its own."""
+    """Runs many seeds, at most `at_once` at a time, each in its own process."""
 
     def __init__(self, seconds: float, command: str | None, at_once: int, quiet: bool) -> None:
         self.seconds = seconds
@@ -162,21 +162,21 @@
         self.quiet = quiet
         self.processes: set[asyncio.subprocess.Process] = set()
 
-    async def play_all(self, seeds: Sequence[int]) -> list[SoakResult]:
-        """Plays all seeds; those without a verdict once more, each alone."""
-        results = list(await asyncio.gather(*(self._play_one(seed) for seed in seeds)))
+    async def run_all(self, seeds: Sequence[int]) -> list[SoakResult]:
+        """Runs all seeds, then repeats those without a verdict once, one at a time."""
+        results = list(await asyncio.gather(*(self._run_one(seed) for seed in seeds)))
         for index, result in enumerate(results):
             if not result.judged and not result.is_broken:
-                again = await self._play_one(result.seed)
-                results[index] = replace(again, attempts=result.attempts + 1)
+                repeated = await self._run_one(result.seed)
+                results[index] = replace(repeated, attempts=result.attempts + 1)
         return results
 
-    async def _play_one(self, seed: int) -> SoakResult:
+    async def _run_one(self, seed: int) -> SoakResult:
         async with self.slots:
-            words = ["--one", str(seed), "--seconds", str(self.seconds)]
-            words += ["--run", self.command] if self.command else []
+            arguments = ["--one", str(seed), "--seconds", str(self.seconds)]
+            arguments += ["--run", self.command] if self.command else []
             process = await asyncio.create_subprocess_exec(
-                *(sys.executable, "-m", "ingress.testbed", "soak", *words),
+                *(sys.executable, "-m", "ingress.testbed", "soak", *arguments),
                 stdout=asyncio.subprocess.PIPE,
                 start_new_session=True,
             )
@@ -184,14 +184,14 @@
             output, _ = await process.communicate()
             self.processes.discard(process)
         if process.returncode:
-            raise RuntimeError(f"seed {seed}: the run ended with status {process.returncode}")
+            raise RuntimeError(f"seed {seed}: the run exited with status {process.returncode}")
         result = read_result(json.loads(output))
         if not self.quiet:
             sys.stderr.write(f"{result.describe()}\n")
         return result
 
     async def stop(self) -> None:
-        """Ends the runs that are being played, which take their processes down."""
+        """Terminates the active runs, which stop the processes that they started."""
         for process in list(self.processes):
             with contextlib.suppress(ProcessLookupError):
                 os.kill(process.pid, signal.SIGTERM)
@@ -199,13 +199,13 @@
 
 
 def read_result(fields: dict[str, object]) -> SoakResult:
-    """Returns the result that a run's process wrote."""
+    """Returns the result that the process of a run wrote as JSON."""
     values = {key: tuple(x) if isinstance(x, list) else x for key, x in fields.items()}
     return SoakResult(**values)  # type: ignore[arg-type]
 
 
 def table(results: Sequence[SoakResult], seconds: float) -> str:
-    """Returns what was found, with the command that repeats each broken run."""
+    """Returns the printed report, with the command that repeats each broken run."""
     rows: list[str] = []
     for result in results:
         if result.is_broken:
@@ -217,57 +217,65 @@
                 f"--first-seed {result.seed} --seconds {seconds:g}"
             )
     broken = sum(result.is_broken for result in results)
-    without = sum(not result.judged and not result.is_broken for result in results)
+    unjudged = sum(not result.judged and not result.is_broken for result in results)
     replayed = sum(result.attempts > 1 for result in results)
-    kept = len(results) - broken - without
+    kept = len(results) - broken - unjudged
     rows.append(
         f"{len(results)} runs of {seconds:g} s: {kept} kept all rules, {broken} broke one, "
-        f"{without} without a verdict; {replayed} played again for want of one"
+        f"{unjudged} without a verdict; {replayed} repeated for lack of a verdict"
     )
     return "\n".join(rows)
 
 
 def parser() -> argparse.ArgumentParser:
-    """Returns the command line's parser."""
-    made = argparse.ArgumentParser(
+    """Returns the parser of the command line."""
+    argument_parser = argparse.ArgumentParser(
         prog="python -m ingress.testbed soak",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
         epilog="Example: python -m ingress.testbed soak --seeds 50 --seconds 12 --at-once 3\n"
-        "Exit status: 0 all rules kept; 1 a rule broke or an ingress crashed; 2 bad use; "
+        "Exit status: 0 all rules kept; 1 a rule was broken or an ingress crashed; 2 usage error; "
         "4 a run had no verdict; 130 interrupted.",
     )
-    made.add_argument("--seeds", type=int, default=10, help="how many runs (10)")
-    made.add_argument("--first-seed", type=int, default=1, help="the first of them (1)")
-    made.add_argument("--seconds", type=float, default=12.0, help="of each run (12)")
-    made.add_argument("--at-once", type=int, default=3, help="runs at a time (3)")
-    made.add_argument("--run", metavar="COMMAND", help="what starts an ingress")
-    made.add_argument("--json", metavar="FILE", help="writes the results there; - for stdout")
-    made.add_argument("--quiet", action="store_true", help="no progress")
-    made.add_argument("--one", type=int, metavar="SEED", help=argparse.SUPPRESS)
-    return made
-
-
-async def _play_many(options: argparse.Namespace) -> int:
+    argument_parser.add_argument("--seeds", type=int, default=10, help="number of runs (10)")
+    argument_parser.add_argument(
+        "--first-seed", type=int, default=1, help="seed of the first run (1)"
+    )
+    argument_parser.add_argument(
+        "--seconds", type=float, default=12.0, help="length of each run (12)"
+    )
+    argument_parser.add_argument(
+        "--at-once", type=int, default=3, help="number of concurrent runs (3)"
+    )
+    argument_parser.add_argument("--run", metavar="COMMAND", help="command that starts an ingress")
+    argument_parser.add_argument(
+        "--json", metavar="FILE", help="writes the results to FILE; - for stdout"
+    )
+    argument_parser.add_argument("--quiet", action="store_true", help="prints no progress")
+    argument_parser.add_argument("--one", type=int, metavar="SEED", help=argparse.SUPPRESS)
+    return argument_parser
+
+
+async def _run_many(options: argparse.Namespace) -> int:
     soak = Soak(options.seconds, options.run, options.at_once, options.quiet)
     seeds = range(options.first_seed, options.first_seed + options.seeds)
-    playing = asyncio.create_task(soak.play_all(seeds))
+    run_task = asyncio.create_task(soak.run_all(seeds))
     stopped = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stopped.set)
     stop = asyncio.create_task(stopped.wait())
-    await asyncio.wait({playing, stop}, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait({run_task, stop}, return_when=asyncio.FIRST_COMPLETED)
     if stopped.is_set():
-        playing.cancel()
+        run_task.cancel()
         await soak.stop()
-        await asyncio.gather(playing, return_exceptions=True)
-        sys.stderr.write("interrupted; nothing is left behind\n")
+        await asyncio.gather(run_task, return_exceptions=True)
+        sys.stderr.write("interrupted; all processes are stopped\n")
         return INTERRUPTED
     stop.cancel()
-    results = playing.result()
+    results = run_task.result()
     _write(results, options)
     if any(result.is_broken for result in results):
-        return BROKEN
+        return RULE_BROKEN
     return 0 if all(result.judged for result in results) else NO_VERDICT
 
 
@@ -281,13 +289,13 @@
     stream.write(table(results, options.seconds) + "\n")
 
 
-async def _play_here(options: argparse.Namespace) -> int:
-    """Plays one run in this process, which a signal ends cleanly."""
-    playing = asyncio.ensure_future(play(options.one, options.seconds, options.run))
+async def _run_in_process(options: argparse.Namespace) -> int:
+    """Runs one seed in this process; SIGINT and SIGTERM cancel the run and stop its processes."""
+    run_task = asyncio.ensure_future(run_seed(options.one, options.seconds, options.run))
     for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, playing.cancel)
+        asyncio.get_running_loop().add_signal_handler(number, run_task.cancel)
     try:
-        result = await playing
+        result = await run_task
     except asyncio.CancelledError:
         return INTERRUPTED
     json.dump(asdict(result), sys.stdout)
@@ -295,9 +303,9 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Plays what the command line asks for; returns the exit status."""
+    """Runs the command line and returns the exit status."""
     options = parser().parse_args(arguments)
     if options.seeds < 1 or options.at_once < 1 or not 1.0 <= options.seconds <= 86_400:
-        sys.stderr.write("soak: --seeds, --at-once from 1 up, --seconds from 1 to 86400\n")
-        return BAD_USE
-    return asyncio.run(_play_here(options) if options.one is not None else _play_many(options))
+        sys.stderr.write("soak: --seeds and --at-once must be at least 1, --seconds 1 to 86400\n")
+        return USAGE_ERROR
+    return asyncio.run(_run_in_process(options) if options.one is not None else _run_many(options))
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -1,4 +1,4 @@
-"""The world: starts everything on loopback addresses, plays the faults, and takes it all down again."""
+"""The running testbed: starts all components on loopback, injects faults and stops everything."""
 
 from __future__ import annotations
 
@@ -15,53 +15,58 @@
 
 from ingress.testbed.backend_server import GridServer, Keys, Seat
 from ingress.testbed.backend_server_resp3 import Resp3Seat
-from ingress.testbed.clients import AFTER_TERM, NOTICE, OLD, Customers
+from ingress.testbed.clients import OLD, ROUTE_AFTER_KILL_S, ROUTE_AFTER_TERM_S, Customers
 from ingress.testbed.counter import CounterStandIn
 from ingress.testbed.deployment import zone
 from ingress.testbed.discovery_server import Agent, EndpointPublisher, Entry
 from ingress.testbed.ingresses import Ingress, run_line
 from ingress.testbed.links import Link, Side
-from ingress.testbed.load_generator import Crowd, processes
+from ingress.testbed.load_generator import ClientProcesses, process_count
 from ingress.testbed.record import Record, Told
 from ingress.testbed.scenario import Fault, Scenario
-from ingress.testbed.signal_series import SignalSeries, play_crowd
+from ingress.testbed.signal_series import SignalSeries, inject_crowd
 
-PROBE = 0.05  # s between looks at the machine's own lateness
-SAMPLE = 0.25  # s between looks at the ingresses' figures
-BECOMES = {"upgrade": "http-v2", "downgrade": OLD, "halfway": "resp3-v2"}
-TAIL = 8.0  # s after the last arrival in which all must be over
+LAG_PROBE_INTERVAL_S = 0.05  # s between samples of the machine's scheduling delay
+SAMPLE_INTERVAL_S = 0.25  # s between samples of the ingresses' CPU and memory
+DIALECT_AFTER = {"upgrade": "http-v2", "downgrade": OLD, "halfway": "resp3-v2"}
+COMPLETION_TIMEOUT_S = 8.0  # s after the last first attempt for all requests to end
 Progress = Callable[[float, str], None]
 
 
-class Part(Protocol):
-    """A stand-in that can be taken down."""
+class Closable(Protocol):
+    """A component that can be closed."""
 
     def close(self) -> None: ...
 
 
 class World:
-    """One run of a scenario.  `record` holds what was seen; the parts can be looked at while it runs."""
+    """One run of a scenario; `record` holds the observed traffic."""
 
     def __init__(
         self, scenario: Scenario, folder: Path, command: str | None = None, clients: int = 0
     ) -> None:
-        """`clients`: the processes that clients are in; 0: as many as the rate asks for, 1: the lab's own."""
+        """Creates the components without starting them.
+
+        `clients`: the number of client processes; 0 derives it from the rate, 1 uses this process.
+        """
         self.scenario, self.deployment = scenario, scenario.deployment
         d, self.loop = scenario.deployment, asyncio.get_running_loop()
         zero = time.monotonic()
         self.clock: Callable[[], float] = lambda: time.monotonic() - zero
-        self.unix = time.time() - self.clock()  # what turns the lab's clock into Unix time
+        self.unix = time.time() - self.clock()  # add to the testbed's clock to get Unix time
         self.record, self.pairs = Record(), dict[int, Side]()
         self.rng = random.Random(f"world {scenario.seed}")
-        self.agents = [Agent(n, self._told) for n in range(d.ingresses)]
+        self.agents = [Agent(n, self._record_published) for n in range(d.ingresses)]
         self.counter = CounterStandIn(d.counter_rate, d.counter_parts, self.clock)
-        count = clients or processes(d.rate)
-        self.customers: Customers | Crowd = (
+        count = clients or process_count(d.rate)
+        self.customers: Customers | ClientProcesses = (
             Customers(d, self.record, self.clock, scenario.seed, scenario.clients)
             if count == 1
-            else Crowd(count, d, self.record, self.clock, zero, scenario.seed, scenario.clients)
+            else ClientProcesses(
+                count, d, self.record, self.clock, zero, scenario.seed, scenario.clients
+            )
         )
-        self.keys = {"v1": Keys("v1"), "v2": Keys("v2")}  # old and new servers share no memory
+        self.keys = {"v1": Keys("v1"), "v2": Keys("v2")}  # old and new share no memory of keys
         self.servers = [
             GridServer(
                 f"server-{n}",
@@ -78,8 +83,8 @@
             for n in range(d.servers)
         ]
         for server in self.servers:
-            self._become(server, scenario.generations.get(server.name, OLD))
-        further = sorted(scenario.clients.keys() - {OLD})
+            self._set_dialect(server, scenario.generations.get(server.name, OLD))
+        new_dialects = sorted(scenario.clients.keys() - {OLD})
         self.ingresses = [
             Ingress(
                 n,
@@ -90,49 +95,49 @@
                 command or run_line(),
                 scenario.seed,
                 scenario.translates(),
-                further,
+                new_dialects,
             )
             for n in range(d.ingresses)
         ]
         self.links: dict[str, Link] = {}
-        self.addresses: dict[str, tuple[str, int]] = {}  # by link name, where it leads from
+        self.addresses: dict[str, tuple[str, int]] = {}  # by link name, the address to connect to
         self.states = {s.name: ("ready", 0.0) for s in self.servers}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.counts: list[dict[str, Any]] = []  # what each ingress said of itself at the end
+        self.counts: list[dict[str, Any]] = []  # the counts that each ingress logged at the end
         self.faults_done: list[tuple[float, str]] = []
         self.crashes: list[str] = []  # of ingresses
-        self.faults: list[str] = []  # of the lab itself: no verdict then
+        self.faults: list[str] = []  # of the testbed itself, which then gives no verdict
         self.began = 0.0
 
     # Start and end
 
     async def open(self) -> None:
-        """Starts the stand-ins, then the ingresses.  Raises CantStart or OSError."""
+        """Starts the simulated components, then the ingresses.  Raises CantStart or OSError."""
         self.publisher = EndpointPublisher(self.agents, self.deployment.notice, self.rng)
-        wanted = {f.target for f in self.scenario.faults if ">" in f.target}
+        linked = {f.target for f in self.scenario.faults if ">" in f.target}
         counter = await self.counter.open(len(self.agents))
         for n, agent in enumerate(self.agents):
-            await self._lead(f"ingress-{n}>list", await agent.open(), wanted)
-            await self._lead(f"ingress-{n}>counter", counter[n], wanted)
+            await self._set_address(f"ingress-{n}>list", await agent.open(), linked)
+            await self._set_address(f"ingress-{n}>counter", counter[n], linked)
         for server in self.servers:
-            await self._listen(server, wanted)
+            await self._listen(server, linked)
             self.publisher.publish_initial(self._entries(server, "ready", 0.0))
         for ingress in self.ingresses:
-            await self._lead(f"clients>{ingress.name}", ingress.address, wanted)
+            await self._set_address(f"clients>{ingress.name}", ingress.address, linked)
             door = self.customers.doors[ingress.number]
             door.addresses = ingress.listeners | {OLD: self.addresses[f"clients>{ingress.name}"]}
             door.link = self.links.get(f"clients>{ingress.name}")
         await asyncio.gather(*(self.start(ingress) for ingress in self.ingresses))
         for ingress in self.ingresses:
             ingress.sample()
-            ingress.cpu = 0.0  # what a first start takes is not the requests'
+            ingress.cpu = 0.0  # the CPU time of the first start is not part of the requests'
         self.began = self.clock()
-        self._spawn(self._probe())
-        self._spawn(self._sample())
+        self._start_task(self._probe_lag())
+        self._start_task(self._sample())
 
-    async def _lead(self, name: str, target: tuple[str, int], wanted: set[str]) -> None:
-        """The address by which `name` is reached: a link's where the scenario strikes it."""
-        if name not in wanted:
+    async def _set_address(self, name: str, target: tuple[str, int], linked: set[str]) -> None:
+        """Sets the address of `name`: a link's if the scenario has faults for it, else `target`."""
+        if name not in linked:
             self.addresses[name] = target
             return
         old = self.links.get(name)
@@ -142,28 +147,33 @@
         self.links[name] = link = Link(self.clock, self.pairs)
         self.addresses[name] = await link.open(target)
 
-    def _become(self, server: GridServer, dialect: str) -> None:
-        """The generation of its next process: half-moved servers share the old ones' memory of keys."""
+    def _set_dialect(self, server: GridServer, dialect: str) -> None:
+        """Sets the dialect of the server's next process.
+
+        Servers of resp3-v2 share the memory of keys with those of the old generation.
+        """
         server.dialect = dialect
         server.keys = self.keys["v2" if dialect == "http-v2" else "v1"]
         server.kind = {OLD: "small-2c", "resp3-v2": "grid-half", "http-v2": "grid-v2"}[dialect]
         if dialect == "http-v2":
             from ingress.testbed.backend_server_http import (
                 HttpSeat,
-            )  # needs h11, which the old generation does not
+            )  # needs h11, which runs with the old generation alone do not
 
             server.seat = HttpSeat
         else:
             server.seat = Seat if dialect == OLD else Resp3Seat
 
     async def _listen(
-        self, server: GridServer, wanted: set[str] | None = None, ports: list[int] | None = None
+        self, server: GridServer, linked: set[str] | None = None, ports: list[int] | None = None
     ) -> None:
         for n, address in enumerate(await server.open(len(self.ingresses), ports)):
-            await self._lead(f"ingress-{n}>{server.name}", address, wanted or set(self.links))
+            await self._set_address(
+                f"ingress-{n}>{server.name}", address, linked or set(self.links)
+            )
 
     def write_config(self, ingress: Ingress) -> tuple[Path, Mapping[str, Any]]:
-        """Writes an ingress's configuration as things are now; its path, and the list in it."""
+        """Writes an ingress's current configuration; returns its path and its endpoint list."""
         number = ingress.number
         known = self.agents[number].full_list()
         discovery = self.addresses[f"ingress-{number}>list"]
@@ -171,7 +181,7 @@
         return ingress.config(discovery, counter, known), known
 
     async def start(self, ingress: Ingress) -> None:
-        """Starts an ingress, and sends clients to it once it is up."""
+        """Starts an ingress, and routes clients to it once it is up."""
         n = ingress.number
         config, known = self.write_config(ingress)
         await ingress.start(config)
@@ -183,50 +193,50 @@
             )
         door = self.customers.doors[n]
         door.until = float("inf")
-        self._spawn(self._watch(ingress))
+        self._start_task(self._watch(ingress))
 
     async def _watch(self, ingress: Ingress) -> None:
         await ingress.watch()
         if ingress.life is not None and ingress.life.how == "crashed":
             self.crashes.append(
-                f"{ingress.name} ended by itself: " + " | ".join(ingress.last_lines())
+                f"{ingress.name} ended unexpectedly: " + " | ".join(ingress.last_lines())
             )
 
-    def _spawn(self, body: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, body: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(body)
         self.tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.faults.append(f"{type(error).__name__}: {error}")
 
     async def play(self, progress: Progress | None = None) -> None:
-        """Clients come for the scenario's time while its faults strike; then waits until all is over."""
+        """Generates load and injects the faults, then waits for all requests to end."""
         zero = self.loop.time()
         for fault in self.scenario.faults:
-            self._spawn(self._at(zero + fault.at, fault))
-        come = self.loop.create_task(self.customers.come(self.scenario.seconds))
-        end = zero + self.scenario.seconds + TAIL
-        while not come.done() and self.loop.time() < end:
+            self._start_task(self._inject_at(zero + fault.at, fault))
+        load = self.loop.create_task(self.customers.generate_load(self.scenario.seconds))
+        end = zero + self.scenario.seconds + COMPLETION_TIMEOUT_S
+        while not load.done() and self.loop.time() < end:
             if progress is not None:
                 progress(
                     self.loop.time() - zero,
                     f"{self.customers.tries} tries, {self.customers.open} open",
                 )
-            await asyncio.wait({come}, timeout=0.5)
-        if not come.done():
-            come.cancel()
-        elif (error := come.exception()) is not None:
+            await asyncio.wait({load}, timeout=0.5)
+        if not load.done():
+            load.cancel()
+        elif (error := load.exception()) is not None:
             self.faults.append(f"{type(error).__name__}: {error}")
-        await asyncio.sleep(0.1)  # what is sent after a final answer would come now
+        await asyncio.sleep(0.1)  # for bytes that an ingress sends after a final response
 
     async def close(self) -> None:
         for ingress in self.ingresses:
             ingress.sample()
         if not self.counts:
-            self.counts = [await ingress.told() for ingress in self.ingresses]
+            self.counts = [await ingress.request_counts() for ingress in self.ingresses]
             for ingress in self.ingresses:
                 self.record.placements += ingress.placements()
         for ingress in self.ingresses:
@@ -235,34 +245,34 @@
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        parts: list[Part] = [*self.servers, *self.agents, *self.links.values(), self.counter]
+        parts: list[Closable] = [*self.servers, *self.agents, *self.links.values(), self.counter]
         for part in parts:
             part.close()
         await asyncio.sleep(0)
 
-    async def _probe(self) -> None:
+    async def _probe_lag(self) -> None:
         while True:
-            at = self.loop.time() + PROBE
-            await asyncio.sleep(PROBE)
+            at = self.loop.time() + LAG_PROBE_INTERVAL_S
+            await asyncio.sleep(LAG_PROBE_INTERVAL_S)
             self.record.lags.append((self.clock(), max(0.0, self.loop.time() - at)))
 
     async def _sample(self) -> None:
         while True:
-            await asyncio.sleep(SAMPLE)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             for ingress in self.ingresses:
                 ingress.sample()
 
     # Discovery
 
-    def _told(self, ingress: int, server: str, state: str) -> None:
+    def _record_published(self, ingress: int, server: str, state: str) -> None:
         self.record.told.append(Told(ingress, server, state, self.clock()))
 
     def publish(self, server: GridServer, state: str, started: float) -> None:
-        """Passes on that a server's state has changed."""
+        """Publishes a change of a server's state."""
         self.publisher.publish(self._entries(server, state, started))
 
     def _entries(self, server: GridServer, state: str, started: float) -> list[Entry]:
-        """Returns the server's entry in the list of each ingress, and notes its state."""
+        """Returns the server's entry in the list of each ingress, and stores its state."""
         self.states[server.name] = state, started
         started_ms = int((started + self.unix) * 1000) if started else 0
         return [
@@ -281,7 +291,7 @@
 
     # Faults
 
-    async def _at(self, at: float, fault: Fault) -> None:
+    async def _inject_at(self, at: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, at - self.loop.time()))
         self.faults_done.append((self.clock() - self.began, str(fault)))
         await self._strike(fault)
@@ -293,18 +303,18 @@
             case "reload" | "reload_term" | "term_twice" | "term_start" | "report":
                 await SignalSeries(self, self.ingresses[number]).play(fault)
             case "idle_clients" | "knocks":
-                await play_crowd(self.addresses[f"clients>ingress-{number}"], fault)
+                await inject_crowd(self.addresses[f"clients>ingress-{number}"], fault)
             case "kill" | "term" | "pause":
                 await self._strike_ingress(fault.kind, self.ingresses[number], seconds)
             case "slow" | "reset" | "silent" | "spoil" | "busy" | "unclear" | "later":
-                await self._disturb_server(fault, self.servers[number])
+                await self._degrade_server(fault, self.servers[number])
             case "move" | "restart" | "drain" | "upgrade" | "downgrade" | "halfway" | "swap":
-                await self._strike_server(fault.kind, self.servers[number], seconds)
+                await self._restart_or_move_server(fault.kind, self.servers[number], seconds)
             case "delay" | "cut" | "half_close" | "dribble":
-                await self._disturb_link(fault, self.links[fault.target])
+                await self._degrade_link(fault, self.links[fault.target])
             case "list_late" | "list_silent" | "list_back":
-                struck = self.agents if number < 0 else [self.agents[number]]
-                await self._strike_list(fault.kind, struck, seconds)
+                agents = self.agents if number < 0 else [self.agents[number]]
+                await self._inject_list_fault(fault.kind, agents, seconds)
             case "surge":
                 self.customers.surge(fault.target, fault.figures["factor"])
                 await asyncio.sleep(seconds)
@@ -312,9 +322,9 @@
             case "shift":
                 self.customers.shift(fault.figures["share"])
             case _:
-                await self._strike_counter(fault)
+                await self._inject_counter_fault(fault)
 
-    async def _disturb_server(self, fault: Fault, server: GridServer) -> None:
+    async def _degrade_server(self, fault: Fault, server: GridServer) -> None:
         if fault.kind == "slow":
             server.slower = fault.figures["factor"]
         else:
@@ -326,9 +336,9 @@
             server.fault = ""
         if fault.kind == "silent":
             for seat in list(server.seats):
-                seat.abort()  # what it took while silent is never answered
+                seat.abort()  # requests received while silent get no response
 
-    async def _disturb_link(self, fault: Fault, link: Link) -> None:
+    async def _degrade_link(self, fault: Fault, link: Link) -> None:
         link.strike(fault.kind, fault.figures.get("ms", 0.0))
         await asyncio.sleep(fault.figures["seconds"])
         link.strike("pass")
@@ -336,18 +346,18 @@
     async def _strike_ingress(self, kind: str, ingress: Ingress, seconds: float) -> None:
         process, life, door = ingress.process, ingress.life, self.customers.doors[ingress.number]
         if process is None or life is None or process.returncode is not None or life.how:
-            return  # it is down already, or about to go
+            return  # it is down or already terminating
         if kind == "pause":
             start = self.clock()
             life.pauses.append((start, float("inf")))
             ingress.signal(signal.SIGSTOP)
             await asyncio.sleep(seconds)
             ingress.signal(signal.SIGCONT)
-            # What piled up is worked off first.
+            # 0.3 s more for the backlog that built up during the pause.
             life.pauses[-1] = start, self.clock() + 0.3
             return
         if kind == "kill":
-            door.until = self.clock() + NOTICE
+            door.until = self.clock() + ROUTE_AFTER_KILL_S
             ingress.signal(signal.SIGCONT)
             ingress.signal(signal.SIGKILL, "killed")
             await process.wait()
@@ -358,15 +368,15 @@
         await self.start(ingress)
 
     async def terminate(self, ingress: Ingress, *before: signal.Signals) -> None:
-        """Sends SIGTERM, behind other signals, and waits for the end."""
-        self.customers.doors[ingress.number].until = self.clock() + AFTER_TERM
+        """Sends other signals and then SIGTERM, and waits for the process to end."""
+        self.customers.doors[ingress.number].until = self.clock() + ROUTE_AFTER_TERM_S
         for number in before:
             ingress.signal(number)
         ingress.signal(signal.SIGTERM, "term")
         await self.wait_or_kill(ingress)
 
     async def wait_or_kill(self, ingress: Ingress) -> None:
-        """Waits for the end after SIGTERM; sends SIGKILL at the earliest that is allowed."""
+        """Waits for the end after SIGTERM; sends SIGKILL at the earliest allowed time."""
         process = ingress.process
         life = ingress.life
         assert process is not None
@@ -379,9 +389,9 @@
             ingress.signal(signal.SIGKILL)
             await process.wait()
 
-    async def _strike_server(self, kind: str, server: GridServer, seconds: float) -> None:
+    async def _restart_or_move_server(self, kind: str, server: GridServer, seconds: float) -> None:
         if server.closed:
-            return  # another fault has it down
+            return  # another fault has stopped it
         if kind == "move":
             server.stop_listening()
             await self._listen(server)
@@ -399,14 +409,14 @@
         self.publish(server, "gone", 0.0)
         await asyncio.sleep(seconds)
         if kind == "swap":
-            self._become(server, OLD if server.dialect != OLD else "http-v2")
-        elif kind in BECOMES:
-            self._become(server, BECOMES[kind])
+            self._set_dialect(server, OLD if server.dialect != OLD else "http-v2")
+        elif kind in DIALECT_AFTER:
+            self._set_dialect(server, DIALECT_AFTER[kind])
         await self._listen(server, ports=ports)
         server.begin_cold()
         self.publish(server, "ready", self.clock())
 
-    async def _strike_list(self, kind: str, agents: list[Agent], seconds: float) -> None:
+    async def _inject_list_fault(self, kind: str, agents: list[Agent], seconds: float) -> None:
         for agent in agents:
             if kind == "list_late":
                 agent.extra_delay_s = seconds
@@ -417,7 +427,7 @@
             agent.extra_delay_s = 0.0
             agent.set_fault("")
 
-    async def _strike_counter(self, fault: Fault) -> None:
+    async def _inject_counter_fault(self, fault: Fault) -> None:
         counter, seconds = self.counter, fault.figures.get("seconds", 0.0)
         match fault.kind:
             case "counter_empty" | "counter_older":
@@ -428,9 +438,9 @@
                 counter.heal()
             case "counter_flap":
                 end = self.loop.time() + seconds
-                while (left := end - self.loop.time()) > 0:
+                while (remaining := end - self.loop.time()) > 0:
                     counter.lose()
-                    await asyncio.sleep(min(1.0, left))
+                    await asyncio.sleep(min(1.0, remaining))
                     counter.mode = ""
                     await asyncio.sleep(min(1.0, max(0.0, end - self.loop.time())))
             case "counter_lost":
@@ -451,7 +461,7 @@
 async def standing(
     scenario: Scenario, command: str | None = None, clients: int = 0
 ) -> AsyncIterator[World]:
-    """A world that stands, with its ingresses ready; nothing of it is left behind, whatever happens."""
+    """Yields a running testbed whose ingresses are ready, and always stops all of it at the end."""
     with tempfile.TemporaryDirectory(prefix="lab-") as folder:
         world = World(scenario, Path(folder), command, clients)
         try:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what a seed draws, a short one that keeps all rules, and breaches that it names."""
+"""The soak test: reproducible random runs, short runs that keep all rules, reported breaches."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 FAULTY = f"exec {sys.executable} -m tests.faulty"
-PLAYS = 3  # at most, until the machine was quiet enough for a verdict
+MAX_RUNS = 3  # repeats while the machine is too busy for a verdict
 SECONDS = 10.0
 
 
@@ -38,18 +38,18 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_a_seed_draws_the_same_run_each_time_and_only_allowed_faults(seed: int) -> None:
+def test_a_seed_draws_the_same_run_each_time_with_valid_faults_only(seed: int) -> None:
     run = draw_run(seed, SECONDS)
     assert run == draw_run(seed, SECONDS)
     assert run != draw_run(seed + 1, SECONDS)
     for fault in run.faults:
         check_target("drawn", fault.kind, fault.target, run.deployment)
-        for key, (_, least, most) in KINDS[fault.kind].figures.items():
-            assert least <= fault.figures[key] <= most
+        for key, (_, minimum, maximum) in KINDS[fault.kind].figures.items():
+            assert minimum <= fault.figures[key] <= maximum
 
 
-def test_the_seeds_draw_all_signals_crowds_and_kill_times() -> None:
-    """Guards against a soak that never plays what it is for."""
+def test_50_seeds_draw_all_signals_crowds_and_kill_times() -> None:
+    """Guards against a soak test that never injects its own kinds of faults."""
     runs = [draw_run(seed, SECONDS) for seed in range(50)]
     kinds = {fault.kind for run in runs for fault in run.faults}
     assert kinds >= {*SIGNAL_KINDS, *CROWD_KINDS}
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("seed", [101, 102])
-def test_a_drawn_run_keeps_all_rules(seed: int, tmp_path: Path) -> None:
+def test_a_random_run_keeps_all_rules(seed: int, tmp_path: Path) -> None:
     path = tmp_path / "results.json"
     done = soak("--seeds", "1", "--first-seed", str(seed), "--json", str(path))
     assert done.returncode == 0, done.stdout + done.stderr
@@ -66,7 +66,7 @@
     assert result["served"] > 50
 
 
-def found_by(fault: str, faults: tuple[Fault, ...]) -> list[str]:
+def problems_with(fault: str, faults: tuple[Fault, ...]) -> list[str]:
     """Returns the breaches and crashes of a run with a faulty ingress."""
 
     async def play() -> tuple[list[str], bool]:
@@ -77,11 +77,11 @@
         figures, verdict = report(world)
         return figures["breaches"] + world.crashes, verdict.judged
 
-    for _ in range(PLAYS):
-        found, judged = uvloop.run(asyncio.wait_for(play(), 60.0))
-        if judged or found:
+    for _ in range(MAX_RUNS):
+        problems, judged = uvloop.run(asyncio.wait_for(play(), 60.0))
+        if judged or problems:
             break
-    return found
+    return problems
 
 
 TERMS = tuple(Fault(0.5 + n, "term", f"ingress-{n}", {}) for n in range(3))
@@ -92,17 +92,19 @@
     ("fault", "faults", "words"),
     [
         ("close_unread", TERMS, "lost: the"),
-        ("drops_second_reload", RELOADS, "did not take over the last of 2 configurations"),
+        ("drops_second_reload", RELOADS, "did not apply the last of 2 configurations"),
     ],
 )
-def test_the_soak_names_a_seeded_breach(fault: str, faults: tuple[Fault, ...], words: str) -> None:
-    found = found_by(fault, faults)
-    assert any(words in text for text in found), found
-    assert not any(words in text for text in found_by("none", faults))
+def test_the_soak_reports_a_seeded_breach(
+    fault: str, faults: tuple[Fault, ...], words: str
+) -> None:
+    problems = problems_with(fault, faults)
+    assert any(words in text for text in problems), problems
+    assert not any(words in text for text in problems_with("none", faults))
 
 
-def test_bad_use_and_an_interrupt_end_with_their_status() -> None:
-    assert command.main(["soak", "--seeds", "0"]) == command.BAD_USE
+def test_a_usage_error_and_an_interrupt_have_their_own_exit_status() -> None:
+    assert command.main(["soak", "--seeds", "0"]) == command.USAGE_ERROR
     with subprocess.Popen(
         [sys.executable, "-m", "ingress.testbed", "soak", "--seeds", "2", "--seconds", "60"],
         cwd=ROOT,
@@ -115,4 +117,4 @@
         process.send_signal(signal.SIGINT)
         assert process.wait(30) == command.INTERRUPTED
         assert process.stderr is not None
-        assert "nothing is left behind" in process.stderr.read()
+        assert "all processes are stopped" in process.stderr.read()
