--- a/ingress/testbed/__main__.py
+++ b/ingress/testbed/__main__.py
@@ -93,7 +93,7 @@
     text, source = "", "command line"
     if options.scenario:
         if options.faults:
-            raise ScenarioError("command line: --faults and --scenario exclude each other")
+            raise ScenarioError("command line: --faults can't be combined with --scenario")
         path = Path(options.scenario)
         if not path.suffix and not path.exists():
             path = SCENARIOS / f"{options.scenario}.toml"
@@ -230,12 +230,12 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    argv = sys.argv[1:] if arguments is None else arguments
-    if argv[:1] == ["soak"]:
+    args = sys.argv[1:] if arguments is None else arguments
+    if args[:1] == ["soak"]:
         from ingress.testbed import soak
 
-        return soak.main(argv[1:])
-    options = parser().parse_args(argv)
+        return soak.main(args[1:])
+    options = parser().parse_args(args)
     logging.basicConfig(level=logging.ERROR, stream=sys.stderr)
     try:
         scenario = load_scenario(options)
--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True)
-class Door:
+class IngressRoute:
     """The front proxy's state of one ingress."""
 
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)  # by dialect
@@ -148,7 +148,7 @@
         """
         self.deployment, self.record, self.clock = deployment, record, clock
         self.loop, self.rng = asyncio.get_running_loop(), random.Random(f"customers {seed}")
-        self.doors = [Door() for _ in range(deployment.ingresses)]
+        self.doors = [IngressRoute() for _ in range(deployment.ingresses)]
         self.everyone = [c for plan in deployment.plans for c in self._draw_customers(plan)]
         drawn = random.Random(f"dialects {seed}")
         for customer in self.everyone if dialects else ():
--- a/ingress/testbed/fault_kinds.py
+++ b/ingress/testbed/fault_kinds.py
@@ -104,7 +104,9 @@
         {"seconds": (0.1, 0.05, 600.0)},
     ),
     "unclear": FaultKind(
-        "server", "does the work, and its response does not say so", {"seconds": _DURATION_S}
+        "server",
+        "does the work, and its response does not say whether it ran",
+        {"seconds": _DURATION_S},
     ),
     "later": FaultKind(
         "server",
--- a/ingress/testbed/load_generator.py
+++ b/ingress/testbed/load_generator.py
@@ -1,4 +1,4 @@
-"""Clients in separate processes on the testbed's clock, so that they do not limit the load."""
+"""Clients in separate processes on the testbed's clock, so that the ingress is the bottleneck."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from multiprocessing.connection import Connection
 from typing import Any
 
-from ingress.testbed.clients import Customers, Door
+from ingress.testbed.clients import Customers, IngressRoute
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.record import Record
 
@@ -76,7 +76,7 @@
         dialects: Mapping[str, float],
     ) -> None:
         self.loop, self.record, self.clock = asyncio.get_running_loop(), record, clock
-        self.doors = [Door() for _ in range(deployment.ingresses)]
+        self.doors = [IngressRoute() for _ in range(deployment.ingresses)]
         self.asked: list[tuple[float, str, str, str, float]] = []
         self.not_taken, self.most_lines, self.behind = 0, 0, 0.0
         self.progress = [(0, 0)] * count  # attempts and open requests last reported by each process
@@ -149,8 +149,8 @@
         """Merges the records into one and renumbers the first attempts in order of time."""
         asked = sorted(
             (row, part, n)
-            for part, record in self.parts.items()
-            for n, row in enumerate(record.asked)
+            for part, collected in self.parts.items()
+            for n, row in enumerate(collected.asked)
         )
         numbers = {(part, n): number for number, (_, part, n) in enumerate(asked)}
         self.asked = [row for row, _, _ in asked]
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -223,7 +223,7 @@
             if progress is not None:
                 progress(
                     self.loop.time() - zero,
-                    f"{self.customers.tries} tries, {self.customers.open} open",
+                    f"{self.customers.tries} attempts, {self.customers.open} open",
                 )
             await asyncio.wait({load}, timeout=0.5)
         if not load.done():
@@ -313,8 +313,8 @@
             case "delay" | "cut" | "half_close" | "dribble":
                 await self._degrade_link(fault, self.links[fault.target])
             case "list_late" | "list_silent" | "list_back":
-                agents = self.agents if number < 0 else [self.agents[number]]
-                await self._inject_list_fault(fault.kind, agents, seconds)
+                targets = self.agents if number < 0 else [self.agents[number]]
+                await self._inject_list_fault(fault.kind, targets, seconds)
             case "surge":
                 self.customers.surge(fault.target, fault.figures["factor"])
                 await asyncio.sleep(seconds)
--- a/tests/test_lab_scenarios.py
+++ b/tests/test_lab_scenarios.py
@@ -211,7 +211,7 @@
         while len(pids := children(process.pid)) < 3 and time.monotonic() < deadline:
             time.sleep(0.05)
         assert process.stderr is not None
-        assert "tries" in process.stderr.readline()
+        assert "attempts" in process.stderr.readline()
         process.send_signal(signal.SIGINT)
         assert process.wait(20) == command.INTERRUPTED
         assert not any(os.path.exists(f"/proc/{pid}") for pid in pids)
