--- a/ingress/testbed/__main__.py
+++ b/ingress/testbed/__main__.py
@@ -13,7 +13,7 @@
 from importlib.util import find_spec
 from pathlib import Path
 
-from ingress.testbed.ingresses import CantStart
+from ingress.testbed.ingresses import IngressStartError
 from ingress.testbed.load_generator import MAX_PROCESSES, MAX_RATE_PER_PROCESS, process_count
 from ingress.testbed.report import report, table
 from ingress.testbed.scenario import (
@@ -249,7 +249,7 @@
         uvloop.install()
     try:
         return asyncio.run(run(options, scenario))
-    except CantStart as error:
+    except IngressStartError as error:
         print(f"ingress.testbed: {error}", file=sys.stderr)
         return START_FAILED
     except OSError as error:
--- a/ingress/testbed/ingresses.py
+++ b/ingress/testbed/ingresses.py
@@ -28,7 +28,7 @@
 PLACEMENT_MARKER = ": placement "  # precedes a placement decision in a log line of level debug
 
 
-class CantStart(Exception):
+class IngressStartError(Exception):
     """An ingress did not start; the message holds its last log lines."""
 
 
@@ -147,7 +147,7 @@
         return path
 
     async def start(self, config: Path) -> None:
-        """Starts a process and waits until it answers PING.  Raises CantStart."""
+        """Starts a process and waits until it answers PING.  Raises IngressStartError."""
         await self.spawn(config)
         await self._wait_until_up()
 
@@ -183,7 +183,7 @@
                 self.is_up = True
                 return
             await asyncio.sleep(0.02)
-        raise CantStart(
+        raise IngressStartError(
             f"{self.name} at {self.address[0]}:{self.address[1]} did not start:\n"
             + "\n".join(self.last_lines())
         )
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -112,7 +112,7 @@
     # Start and end
 
     async def open(self) -> None:
-        """Starts the simulated components, then the ingresses.  Raises CantStart or OSError."""
+        """Starts the simulated components, then the ingresses.  Raises IngressStartError or OSError."""
         self.publisher = EndpointPublisher(self.agents, self.deployment.notice, self.rng)
         linked = {f.target for f in self.scenario.faults if ">" in f.target}
         counter = await self.counter.open(len(self.agents))
--- a/tests/test_takeover_storage.py
+++ b/tests/test_takeover_storage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ingress.testbed.ingresses import CantStart
+from ingress.testbed.ingresses import IngressStartError
 from tests.handover_clients import FAULTY, ClientOutcome, HandoverFleet, run_case
 
 
@@ -84,7 +84,8 @@
                 (folder / path.name).write_bytes(path.read_bytes())
             before = {path.name: path.read_bytes() for path in folder.iterdir()}
             with pytest.raises(
-                CantStart, match=r"handover: store: .*belongs to ingress-1, not to ingress-0"
+                IngressStartError,
+                match=r"handover: store: .*belongs to ingress-1, not to ingress-0",
             ):
                 await fleet.restart(0)
             fleet.world.ingresses[0].life.how = "killed"  # type: ignore[union-attr]
