--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -33,7 +33,7 @@
 from ingress.storage.file_system import OsFileSystem
 from ingress.storage.write_ahead_log import Store
 from ingress.testbed.deployment import Deployment
-from ingress.testbed.handover_fleet import Crew
+from ingress.testbed.handover_fleet import HandoverLinks
 from ingress.testbed.invariant_checker import judge
 from ingress.testbed.measure import percentile
 from ingress.testbed.scenario import Scenario
@@ -79,7 +79,7 @@
             Path(folder),
             f"exec {sys.executable} -m ingress",
         )
-        crew = Crew(world, Path(folder), "store" in name, forget_s=8.0, **(way or {}))
+        crew = HandoverLinks(world, Path(folder), "store" in name, forget_s=8.0, **(way or {}))
         try:
             if way is not None:
                 await crew.open()
--- a/ingress/testbed/handover_fleet.py
+++ b/ingress/testbed/handover_fleet.py
@@ -12,7 +12,7 @@
 from ingress.testbed.world import World
 
 
-class Crew:
+class HandoverLinks:
     """Gives each ingress an operator configuration with [handover]; create it before they start."""
 
     def __init__(
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -22,7 +22,7 @@
 from ingress.testbed.backend_server import GridServer
 from ingress.testbed.client_codecs import RespVoice, Words
 from ingress.testbed.deployment import Deployment
-from ingress.testbed.handover_fleet import Crew
+from ingress.testbed.handover_fleet import HandoverLinks
 from ingress.testbed.invariant_checker import Verdict, judge
 from ingress.testbed.record import Arrival, Try
 from ingress.testbed.scenario import Scenario
@@ -68,7 +68,7 @@
     """A running testbed whose instances hand over."""
 
     world: World
-    crew: Crew
+    crew: HandoverLinks
     keys: set[str] = field(default_factory=set)
 
     def new_key(self) -> str:
@@ -280,7 +280,7 @@
         world = World(scenario, folder, f"exec {sys.executable} -m ingress")
         for number, command in commands.items():
             world.ingresses[number].command = command
-        crew = Crew(world, folder, stores, **settings)
+        crew = HandoverLinks(world, folder, stores, **settings)
         try:
             await crew.open()
             await world.open()
