--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -29,7 +29,7 @@
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.report import report
 from ingress.testbed.scenario import Scenario
-from ingress.testbed.world import standing
+from ingress.testbed.world import running_world
 
 ROOT = Path(__file__).resolve().parent.parent
 NAMES = ("cpu_us_per_request", "p50_ms", "p99_ms", "rss_mb")
@@ -56,7 +56,7 @@
         f"cd {shlex.quote(str(tree))} && exec env PYTHONPATH={shlex.quote(str(tree))} "
         f"{shlex.quote(sys.executable)} -m {program_package(tree)}"
     )
-    async with standing(Scenario("compare", seconds, seed, deployment), command) as world:
+    async with running_world(Scenario("compare", seconds, seed, deployment), command) as world:
         await world.play()
         for ingress in world.ingresses:
             ingress.sample()
--- a/benchmarks/migration.py
+++ b/benchmarks/migration.py
@@ -24,7 +24,7 @@
 from ingress.testbed.__main__ import SCENARIOS
 from ingress.testbed.report import report
 from ingress.testbed.scenario import Scenario, read_scenario
-from ingress.testbed.world import standing
+from ingress.testbed.world import running_world
 
 CHANGES = ("upgrade", "downgrade", "halfway", "swap")
 
@@ -62,7 +62,7 @@
 
 async def play(name: str, seed: int, command: str, still: bool) -> dict[str, Any]:
     """One run, in a process of its own: its loopback addresses are its own too."""
-    async with standing(scenario(name, seed, still), command or None) as world:
+    async with running_world(scenario(name, seed, still), command or None) as world:
         await world.play()
         await world.close()
     figures, verdict = report(world)
--- a/benchmarks/pairs.py
+++ b/benchmarks/pairs.py
@@ -24,7 +24,7 @@
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.report import report
 from ingress.testbed.scenario import DIALECTS, OLD, Scenario
-from ingress.testbed.world import standing
+from ingress.testbed.world import running_world
 
 PAIRS = [(client, server) for client in DIALECTS for server in DIALECTS]
 SERVERS = 6
@@ -38,7 +38,7 @@
     clients = {} if client == OLD else {client: 1.0}
     generations = {} if server == OLD else {f"server-{n}": server for n in range(SERVERS)}
     scenario = Scenario(f"{client} {server}", seconds, seed, deployment, (), clients, generations)
-    async with standing(scenario) as world:
+    async with running_world(scenario) as world:
         await world.play()
         for ingress in world.ingresses:
             ingress.sample()
--- a/ingress/testbed/__main__.py
+++ b/ingress/testbed/__main__.py
@@ -23,7 +23,7 @@
     draw,
     read_scenario,
 )
-from ingress.testbed.world import Progress, World, standing
+from ingress.testbed.world import Progress, World, running_world
 
 RULE_BROKEN, USAGE_ERROR, START_FAILED, TOO_BUSY, NO_VERDICT, INTERRUPTED = 1, 2, 3, 4, 5, 130
 SCENARIOS = Path(__file__).parent / "scenarios"
@@ -181,7 +181,7 @@
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stop.set)
-    async with standing(scenario, options.run, options.clients) as world:
+    async with running_world(scenario, options.run, options.clients) as world:
         if options.hold:
             print(addresses(world), flush=True)
             print("Running; press Ctrl-C to stop.", file=sys.stderr)
--- a/ingress/testbed/soak.py
+++ b/ingress/testbed/soak.py
@@ -22,7 +22,7 @@
 from ingress.testbed.fault_kinds import CROWD_KINDS, GENERATION_KINDS, KINDS, SIGNAL_KINDS
 from ingress.testbed.report import report
 from ingress.testbed.scenario import Fault, Scenario, draw
-from ingress.testbed.world import standing
+from ingress.testbed.world import running_world
 
 RULE_BROKEN = 1
 USAGE_ERROR = 2
@@ -137,7 +137,7 @@
 async def run_seed(seed: int, seconds: float, command: str | None) -> SoakResult:
     """Runs the scenario of one seed in this process."""
     scenario = draw_run(seed, seconds)
-    async with standing(scenario, command) as world:
+    async with running_world(scenario, command) as world:
         await world.play()
         await world.close()
     figures, verdict = report(world)
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -458,7 +458,7 @@
 
 
 @asynccontextmanager
-async def standing(
+async def running_world(
     scenario: Scenario, command: str | None = None, clients: int = 0
 ) -> AsyncIterator[World]:
     """Yields a running testbed whose ingresses are ready, and always stops all of it at the end."""
--- a/tests/test_lab_breaches.py
+++ b/tests/test_lab_breaches.py
@@ -14,7 +14,7 @@
 from ingress.testbed.deployment import CLASSES, Deployment
 from ingress.testbed.invariant_checker import Breach, Verdict, held_back, judge
 from ingress.testbed.scenario import Fault, Scenario
-from ingress.testbed.world import standing
+from ingress.testbed.world import running_world
 from tests.test_lab_scenarios import PLAYS
 
 SHORT_MEMORY = Deployment(rate=60.0, classes=(CLASSES[0], replace(CLASSES[1], window=0.5)))
@@ -90,7 +90,7 @@
 
 
 async def _play(scenario: Scenario, fault: str) -> tuple[Verdict, tuple[int, int]]:
-    async with standing(scenario, f"exec {sys.executable} -m tests.faulty {fault}") as world:
+    async with running_world(scenario, f"exec {sys.executable} -m tests.faulty {fault}") as world:
         await world.play()
     assert not world.crashes and not world.faults
     return judge(world.record, world.deployment), held_back(world.record)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -18,7 +18,7 @@
 from ingress.testbed.report import report
 from ingress.testbed.scenario import Fault, Scenario, check_target
 from ingress.testbed.soak import draw_run
-from ingress.testbed.world import standing
+from ingress.testbed.world import running_world
 
 ROOT = Path(__file__).resolve().parent.parent
 FAULTY = f"exec {sys.executable} -m tests.faulty"
@@ -72,7 +72,7 @@
     async def play() -> tuple[list[str], bool]:
         deployment = Deployment(rate=150.0, keeps_connections=True)
         scenario = Scenario("soak", 8.0, 9, deployment, faults)
-        async with standing(scenario, f"{FAULTY} {fault}") as world:
+        async with running_world(scenario, f"{FAULTY} {fault}") as world:
             await world.play()
         figures, verdict = report(world)
         return figures["breaches"] + world.crashes, verdict.judged
