--- a/ingress/testbed/client_codecs.py
+++ b/ingress/testbed/client_codecs.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Words:
+class RequestFields:
     """The fields of a request in any dialect; `wait` is the client's timeout in seconds."""
 
     id: str
@@ -50,7 +50,7 @@
 class ClientCodec(Protocol):
     """The codec of one connection."""
 
-    def ask(self, words: Words) -> bytes: ...
+    def ask(self, words: RequestFields) -> bytes: ...
 
     def hear(self, data: bytes) -> ClientResponse | None:
         """Returns the response once it is complete, None before."""
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
 
-    def ask(self, words: Words) -> bytes:
+    def ask(self, words: RequestFields) -> bytes:
         text = (
             f"c={words.request_class},t={words.plan},d={round(words.wait * 1000)}"
             + (f",k={words.key}" if words.key else "")
@@ -109,7 +109,7 @@
         super().__init__()
         self.hello_sent, self.hello_pending = False, False
 
-    def ask(self, words: Words) -> bytes:
+    def ask(self, words: RequestFields) -> bytes:
         data = super().ask(words)
         if self.hello_sent:
             return data
@@ -148,7 +148,7 @@
         self.http = self.h11.Connection(self.h11.CLIENT)
         self.status, self.wait, self.body = 0, 0.0, b""
 
-    def ask(self, words: Words) -> bytes:
+    def ask(self, words: RequestFields) -> bytes:
         fields = [
             ("Host", "grid.example.org"),
             ("X-Request-Id", words.id),
--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import TYPE_CHECKING, cast
 
-from ingress.testbed.client_codecs import CLIENT_CODECS, Words
+from ingress.testbed.client_codecs import CLIENT_CODECS, RequestFields
 from ingress.testbed.deployment import Deployment, Plan, RequestClass
 from ingress.testbed.record import Record, Try
 
@@ -80,7 +80,7 @@
         self.customers.connections += 1
         self.customers.most_lines = max(self.customers.most_lines, self.customers.connections)
 
-    def send(self, tried: Try, request: ClientRequest, words: Words) -> None:
+    def send(self, tried: Try, request: ClientRequest, words: RequestFields) -> None:
         assert self.transport is not None
         data = self.codec.ask(words)
         self.current, tried.first, self.used = (tried, request), not self.used, True
@@ -304,7 +304,7 @@
         connection.send(
             tried,
             request,
-            Words(
+            RequestFields(
                 tried.id,
                 tried.customer,
                 tried.plan,
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -20,7 +20,7 @@
 from ingress.handover.messages import record_name
 from ingress.handover.replica import replicas_for
 from ingress.testbed.backend_server import GridServer
-from ingress.testbed.client_codecs import RespVoice, Words
+from ingress.testbed.client_codecs import RequestFields, RespVoice
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.handover_fleet import HandoverLinks
 from ingress.testbed.invariant_checker import Verdict, judge
@@ -113,13 +113,13 @@
             return ClientOutcome("broken")
         return outcome
 
-    def _words(self, key: str, wait: float) -> Words:
+    def _words(self, key: str, wait: float) -> RequestFields:
         request_id = f"{next(request_numbers):08x}{REQUEST_ID_SUFFIX}"
-        return Words(
+        return RequestFields(
             request_id, customer_of(key), "plus", "solution-submit", key, wait, 1, 0, False, False
         )
 
-    def _recorded_try(self, words: Words, ingress: int) -> Try:
+    def _recorded_try(self, words: RequestFields, ingress: int) -> Try:
         return Try(
             words.id,
             words.customer,
