--- a/ingress/testbed/client_codecs.py
+++ b/ingress/testbed/client_codecs.py
@@ -59,7 +59,7 @@
         """Returns whether bytes followed the response."""
 
 
-class RespVoice:
+class RespClientCodec:
     """The codec of resp2-v1."""
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
         return bool(self.reader.has_data())
 
 
-class Resp3ClientCodec(RespVoice):
+class Resp3ClientCodec(RespClientCodec):
     """The codec of resp3-v2, which sends HELLO 3 before the first request."""
 
     def __init__(self) -> None:
@@ -221,7 +221,7 @@
 
 
 CLIENT_CODECS: dict[str, Callable[[], ClientCodec]] = {
-    "resp2-v1": RespVoice,
+    "resp2-v1": RespClientCodec,
     "resp3-v2": Resp3ClientCodec,
     "http-v2": HttpClientCodec,
 }
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -20,7 +20,7 @@
 from ingress.handover.messages import record_name
 from ingress.handover.replica import replicas_for
 from ingress.testbed.backend_server import GridServer
-from ingress.testbed.client_codecs import RequestFields, RespVoice
+from ingress.testbed.client_codecs import RequestFields, RespClientCodec
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.handover_fleet import HandoverLinks
 from ingress.testbed.invariant_checker import Verdict, judge
@@ -97,7 +97,7 @@
     ) -> ClientOutcome:
         """Sends one attempt through an instance; `wait`: the client's timeout in seconds."""
         words = self._words(key, wait)
-        codec = RespVoice()
+        codec = RespClientCodec()
         data = codec.ask(words)
         if body:
             length = len(words.solution)
@@ -135,7 +135,7 @@
         )
 
     async def _exchange(
-        self, ingress: int, codec: RespVoice, data: bytes, tried: Try
+        self, ingress: int, codec: RespClientCodec, data: bytes, tried: Try
     ) -> ClientOutcome | None:
         """Returns the outcome, or None where the connection ended without one."""
         clock = self.world.clock
