--- a/ingress/testbed/client_codecs.py
+++ b/ingress/testbed/client_codecs.py
@@ -52,7 +52,7 @@
 
     def ask(self, words: RequestFields) -> bytes: ...
 
-    def hear(self, data: bytes) -> ClientResponse | None:
+    def receive(self, data: bytes) -> ClientResponse | None:
         """Returns the response once it is complete, None before."""
 
     def has_trailing_data(self) -> bool:
@@ -81,7 +81,7 @@
         ]
         return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
-    def hear(self, data: bytes) -> ClientResponse | None:
+    def receive(self, data: bytes) -> ClientResponse | None:
         try:
             self.reader.feed(data)
             reply = self.reader.gets()
@@ -116,7 +116,7 @@
         self.hello_sent = self.hello_pending = True
         return b"*2\r\n$5\r\nHELLO\r\n$1\r\n3\r\n" + data
 
-    def hear(self, data: bytes) -> ClientResponse | None:
+    def receive(self, data: bytes) -> ClientResponse | None:
         try:
             self.reader.feed(data)
             reply = self.reader.gets()
@@ -184,7 +184,7 @@
         ]
         return b"".join(chunks)
 
-    def hear(self, data: bytes) -> ClientResponse | None:
+    def receive(self, data: bytes) -> ClientResponse | None:
         try:
             self.http.receive_data(data)
             while True:
--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -95,7 +95,7 @@
             self.abort()
             return
         tried, request = self.current
-        response = self.codec.hear(data)
+        response = self.codec.receive(data)
         if response is None:
             return
         tried.answered, tried.kind, tried.value = now, response.kind, response.value
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -145,7 +145,7 @@
         self.world.record.tries.append(tried)
         writer.write(data)
         while received := await reader.read(65536):
-            heard = codec.hear(received)
+            heard = codec.receive(received)
             if heard is not None:
                 writer.close()
                 tried.answered = clock()
