--- a/benchmarks/pairs.py
+++ b/benchmarks/pairs.py
@@ -23,7 +23,7 @@
 from benchmarks.ratios import spread
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.report import report
-from ingress.testbed.scenario import DIALECTS, OLD, Scenario
+from ingress.testbed.scenario import DIALECTS, OLD_DIALECT, Scenario
 from ingress.testbed.world import running_world
 
 PAIRS = [(client, server) for client in DIALECTS for server in DIALECTS]
@@ -35,8 +35,8 @@
     deployment = Deployment(
         ingresses=1, servers=SERVERS, rate=rate, busy=0.2, retries=0.0, counter_rate=5000.0
     )
-    clients = {} if client == OLD else {client: 1.0}
-    generations = {} if server == OLD else {f"server-{n}": server for n in range(SERVERS)}
+    clients = {} if client == OLD_DIALECT else {client: 1.0}
+    generations = {} if server == OLD_DIALECT else {f"server-{n}": server for n in range(SERVERS)}
     scenario = Scenario(f"{client} {server}", seconds, seed, deployment, (), clients, generations)
     async with running_world(scenario) as world:
         await world.play()
@@ -68,14 +68,14 @@
             {pair: uvloop.run(once(*pair, options.seconds, options.rate, n)) for pair in order}
         )
         print(
-            f"round {n + 1} of {options.rounds}: {rounds[-1][OLD, OLD]:.0f} us a request on the old path",
+            f"round {n + 1} of {options.rounds}: {rounds[-1][OLD_DIALECT, OLD_DIALECT]:.0f} us a request on the old path",
             file=sys.stderr,
             flush=True,
         )
     print(f"{'clients':<10}{'servers':<10}{'us':>7}{'ratio':>8}   lowest and highest ratio")
     result: list[dict[str, Any]] = []
     for client, server in PAIRS:
-        ratios = sorted(row[client, server] / row[OLD, OLD] for row in rounds)
+        ratios = sorted(row[client, server] / row[OLD_DIALECT, OLD_DIALECT] for row in rounds)
         ratio, lowest, highest = spread(ratios)
         cpu = median(row[client, server] for row in rounds)
         result.append(
--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from ingress.testbed.links import Link
 
-OLD = "resp2-v1"
+OLD_DIALECT = "resp2-v1"
 ROUTE_AFTER_KILL_S = 1.0  # s for which requests still go to an ingress after its death
 ROUTE_AFTER_TERM_S = 0.3  # s for which new connections still go to an ingress after SIGTERM
 RETRY_DELAY_S = 0.25  # s before a client retries a failed request
@@ -36,7 +36,7 @@
     first: int  # first of the `spread` consecutive ingresses of its set, modulo their number
     spread: int
     weights: list[float]  # share of each ingress of its set
-    dialect: str = OLD
+    dialect: str = OLD_DIALECT
 
 
 @dataclass(slots=True)
--- a/ingress/testbed/scenario.py
+++ b/ingress/testbed/scenario.py
@@ -18,7 +18,7 @@
     """A scenario is invalid; the message names the file, the key and the allowed values."""
 
 
-OLD = "resp2-v1"
+OLD_DIALECT = "resp2-v1"
 LINK = re.compile(r"(clients>ingress-(\d+)|ingress-(\d+)>(server-(\d+)|counter|list))")
 
 
@@ -57,7 +57,7 @@
             *self.clients,
             *self.generations.values(),
             *(dialect_after[f.kind] for f in self.faults if f.kind in dialect_after),
-        } - {OLD}
+        } - {OLD_DIALECT}
 
     def translates(self) -> bool:
         """Returns whether ingresses need an operator configuration file."""
@@ -68,7 +68,7 @@
         return "http-v2" in self.dialects()
 
 
-DIALECTS = (OLD, "resp3-v2", "http-v2")
+DIALECTS = (OLD_DIALECT, "resp3-v2", "http-v2")
 SIZE_LIMITS: dict[str, tuple[float, float]] = {
     "seconds": (0.5, 86_400),
     "seed": (0, 2**63),
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -15,7 +15,7 @@
 
 from ingress.testbed.backend_server import GridServer, Keys, Seat
 from ingress.testbed.backend_server_resp3 import Resp3Seat
-from ingress.testbed.clients import OLD, ROUTE_AFTER_KILL_S, ROUTE_AFTER_TERM_S, Customers
+from ingress.testbed.clients import OLD_DIALECT, ROUTE_AFTER_KILL_S, ROUTE_AFTER_TERM_S, Customers
 from ingress.testbed.counter import CounterStandIn
 from ingress.testbed.deployment import zone
 from ingress.testbed.discovery_server import Agent, EndpointPublisher, Entry
@@ -28,7 +28,7 @@
 
 LAG_PROBE_INTERVAL_S = 0.05  # s between samples of the machine's scheduling delay
 SAMPLE_INTERVAL_S = 0.25  # s between samples of the ingresses' CPU and memory
-DIALECT_AFTER = {"upgrade": "http-v2", "downgrade": OLD, "halfway": "resp3-v2"}
+DIALECT_AFTER = {"upgrade": "http-v2", "downgrade": OLD_DIALECT, "halfway": "resp3-v2"}
 COMPLETION_TIMEOUT_S = 8.0  # s after the last first attempt for all requests to end
 Progress = Callable[[float, str], None]
 
@@ -83,8 +83,8 @@
             for n in range(d.servers)
         ]
         for server in self.servers:
-            self._set_dialect(server, scenario.generations.get(server.name, OLD))
-        new_dialects = sorted(scenario.clients.keys() - {OLD})
+            self._set_dialect(server, scenario.generations.get(server.name, OLD_DIALECT))
+        new_dialects = sorted(scenario.clients.keys() - {OLD_DIALECT})
         self.ingresses = [
             Ingress(
                 n,
@@ -125,7 +125,9 @@
         for ingress in self.ingresses:
             await self._set_address(f"clients>{ingress.name}", ingress.address, linked)
             door = self.customers.doors[ingress.number]
-            door.addresses = ingress.listeners | {OLD: self.addresses[f"clients>{ingress.name}"]}
+            door.addresses = ingress.listeners | {
+                OLD_DIALECT: self.addresses[f"clients>{ingress.name}"]
+            }
             door.link = self.links.get(f"clients>{ingress.name}")
         await asyncio.gather(*(self.start(ingress) for ingress in self.ingresses))
         for ingress in self.ingresses:
@@ -154,7 +156,9 @@
         """
         server.dialect = dialect
         server.keys = self.keys["v2" if dialect == "http-v2" else "v1"]
-        server.kind = {OLD: "small-2c", "resp3-v2": "grid-half", "http-v2": "grid-v2"}[dialect]
+        server.kind = {OLD_DIALECT: "small-2c", "resp3-v2": "grid-half", "http-v2": "grid-v2"}[
+            dialect
+        ]
         if dialect == "http-v2":
             from ingress.testbed.backend_server_http import (
                 HttpSeat,
@@ -162,7 +166,7 @@
 
             server.seat = HttpSeat
         else:
-            server.seat = Seat if dialect == OLD else Resp3Seat
+            server.seat = Seat if dialect == OLD_DIALECT else Resp3Seat
 
     async def _listen(
         self, server: GridServer, linked: set[str] | None = None, ports: list[int] | None = None
@@ -409,7 +413,7 @@
         self.publish(server, "gone", 0.0)
         await asyncio.sleep(seconds)
         if kind == "swap":
-            self._set_dialect(server, OLD if server.dialect != OLD else "http-v2")
+            self._set_dialect(server, OLD_DIALECT if server.dialect != OLD_DIALECT else "http-v2")
         elif kind in DIALECT_AFTER:
             self._set_dialect(server, DIALECT_AFTER[kind])
         await self._listen(server, ports=ports)
