--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -68,7 +68,7 @@
 
     def __init__(self, customers: Customers, ingress: int, dialect: str) -> None:
         self.customers, self.ingress, self.codec = customers, ingress, CLIENT_CODECS[dialect]()
-        self.idle = customers.doors[ingress].idle[dialect]
+        self.idle = customers.routes[ingress].idle[dialect]
         self.transport: asyncio.Transport | None = None
         self.current: tuple[Try, ClientRequest] | None = None
         self.last: Try | None = None
@@ -115,7 +115,7 @@
         self.customers.connections -= 1
 
     def _on_end(self) -> None:
-        door = self.customers.doors[self.ingress]
+        door = self.customers.routes[self.ingress]
         if self in self.idle:
             self.idle.remove(self)
         cut = door.link is not None and door.link.broken.pop(self.port, None) is not None
@@ -148,7 +148,7 @@
         """
         self.deployment, self.record, self.clock = deployment, record, clock
         self.loop, self.rng = asyncio.get_running_loop(), random.Random(f"customers {seed}")
-        self.doors = [IngressRoute() for _ in range(deployment.ingresses)]
+        self.routes = [IngressRoute() for _ in range(deployment.ingresses)]
         self.everyone = [c for plan in deployment.plans for c in self._draw_customers(plan)]
         drawn = random.Random(f"dialects {seed}")
         for customer in self.everyone if dialects else ():
@@ -246,7 +246,7 @@
         available = [
             (n, w)
             for n, w in zip(numbers, customer.weights, strict=True)
-            if self.doors[n].until > now or self._is_connected(n, customer)
+            if self.routes[n].until > now or self._is_connected(n, customer)
         ]
         if not available:
             return numbers[0]
@@ -255,7 +255,7 @@
     def _is_connected(self, ingress: int, customer: Customer) -> bool:
         """Returns whether clients still use an idle connection to an ingress that may be ending."""
         keeps = self.deployment.keeps_connections
-        return keeps and bool(self.doors[ingress].idle[customer.dialect])
+        return keeps and bool(self.routes[ingress].idle[customer.dialect])
 
     async def _send_attempt(self, request: ClientRequest) -> None:
         ingress, patience = (
@@ -283,7 +283,7 @@
     async def _send_on_connection(
         self, tried: Try, request: ClientRequest, fresh: bool = False
     ) -> None:
-        door, c = self.doors[tried.ingress], request.customer
+        door, c = self.routes[tried.ingress], request.customer
         idle = door.idle[c.dialect]
         connection = idle.pop() if idle and not fresh else None
         if connection is None:
@@ -379,7 +379,7 @@
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
-        for door in self.doors:
+        for door in self.routes:
             for connection in [
                 connection for connections in door.idle.values() for connection in connections
             ]:
--- a/ingress/testbed/load_generator.py
+++ b/ingress/testbed/load_generator.py
@@ -76,7 +76,7 @@
         dialects: Mapping[str, float],
     ) -> None:
         self.loop, self.record, self.clock = asyncio.get_running_loop(), record, clock
-        self.doors = [IngressRoute() for _ in range(deployment.ingresses)]
+        self.routes = [IngressRoute() for _ in range(deployment.ingresses)]
         self.asked: list[tuple[float, str, str, str, float]] = []
         self.not_taken, self.most_lines, self.behind = 0, 0, 0.0
         self.progress = [(0, 0)] * count  # attempts and open requests last reported by each process
@@ -133,14 +133,14 @@
 
         Raises RuntimeError if a process ends without one.
         """
-        self._broadcast("doors", [(door.addresses, door.until) for door in self.doors])
+        self._broadcast("doors", [(door.addresses, door.until) for door in self.routes])
         self._broadcast("come", seconds)
-        sent = [door.until for door in self.doors]
+        sent = [door.until for door in self.routes]
         while not self.finished.is_set():
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.finished.wait(), ROUTE_UPDATE_INTERVAL_S)
-            if sent != (sent := [door.until for door in self.doors]):
-                self._broadcast("doors", [(door.addresses, door.until) for door in self.doors])
+            if sent != (sent := [door.until for door in self.routes]):
+                self._broadcast("doors", [(door.addresses, door.until) for door in self.routes])
         if len(self.parts) < len(self.processes):
             raise RuntimeError("a client process ended unexpectedly")
         self._merge()
@@ -203,7 +203,7 @@
     def on_message(message: Any) -> None:
         match message:
             case "doors", rows:
-                for door, (addresses, until) in zip(customers.doors, rows, strict=True):
+                for door, (addresses, until) in zip(customers.routes, rows, strict=True):
                     door.addresses, door.until = addresses, until
             case "surge", plan, factor:
                 customers.surge(plan, factor)
--- a/ingress/testbed/signal_series.py
+++ b/ingress/testbed/signal_series.py
@@ -95,7 +95,7 @@
     async def _terminate_during_start(self, gap_s: float) -> None:
         ingress = self.ingress
         assert ingress.process is not None
-        self.world.customers.doors[ingress.number].until = self.world.clock()
+        self.world.customers.routes[ingress.number].until = self.world.clock()
         ingress.signal(signal.SIGKILL, "killed")
         await ingress.process.wait()
         config, _ = self.world.write_config(ingress)
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -124,7 +124,7 @@
             self.publisher.publish_initial(self._entries(server, "ready", 0.0))
         for ingress in self.ingresses:
             await self._set_address(f"clients>{ingress.name}", ingress.address, linked)
-            door = self.customers.doors[ingress.number]
+            door = self.customers.routes[ingress.number]
             door.addresses = ingress.listeners | {
                 OLD_DIALECT: self.addresses[f"clients>{ingress.name}"]
             }
@@ -195,7 +195,7 @@
             self.record.told.append(
                 Told(n, server.name, listed.get(server.name, "gone"), ingress.life.up)
             )
-        door = self.customers.doors[n]
+        door = self.customers.routes[n]
         door.until = float("inf")
         self._start_task(self._watch(ingress))
 
@@ -348,7 +348,7 @@
         link.strike("pass")
 
     async def _strike_ingress(self, kind: str, ingress: Ingress, seconds: float) -> None:
-        process, life, door = ingress.process, ingress.life, self.customers.doors[ingress.number]
+        process, life, door = ingress.process, ingress.life, self.customers.routes[ingress.number]
         if process is None or life is None or process.returncode is not None or life.how:
             return  # it is down or already terminating
         if kind == "pause":
@@ -373,7 +373,7 @@
 
     async def terminate(self, ingress: Ingress, *before: signal.Signals) -> None:
         """Sends other signals and then SIGTERM, and waits for the process to end."""
-        self.customers.doors[ingress.number].until = self.clock() + ROUTE_AFTER_TERM_S
+        self.customers.routes[ingress.number].until = self.clock() + ROUTE_AFTER_TERM_S
         for number in before:
             ingress.signal(number)
         ingress.signal(signal.SIGTERM, "term")
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -81,7 +81,7 @@
     async def case(stand: Stand) -> None:
         await stand.whole()
         for n in range(6):
-            stand.world.customers.doors[n].until = stand.world.clock() + 0.5
+            stand.world.customers.routes[n].until = stand.world.clock() + 0.5
             stand.world.ingresses[n].signal(signal.SIGKILL, "killed")
         rest = set(range(6, COUNT))
         said = await stand.until(rest, lambda f: f["there"] == 5 and f["lost"] == 6, "not missed")
