--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -115,10 +115,10 @@
         self.customers.connections -= 1
 
     def _on_end(self) -> None:
-        door = self.customers.routes[self.ingress]
+        route = self.customers.routes[self.ingress]
         if self in self.idle:
             self.idle.remove(self)
-        cut = door.link is not None and door.link.broken.pop(self.port, None) is not None
+        cut = route.link is not None and route.link.broken.pop(self.port, None) is not None
         if self.current is not None:
             (tried, request), self.current = self.current, None
             tried.ended, tried.cut = self.customers.clock(), cut
@@ -283,15 +283,15 @@
     async def _send_on_connection(
         self, tried: Try, request: ClientRequest, fresh: bool = False
     ) -> None:
-        door, c = self.routes[tried.ingress], request.customer
-        idle = door.idle[c.dialect]
+        route, c = self.routes[tried.ingress], request.customer
+        idle = route.idle[c.dialect]
         connection = idle.pop() if idle and not fresh else None
         if connection is None:
             try:
                 async with asyncio.timeout(0.5):
                     _, connection = await self.loop.create_connection(
                         lambda: ClientConnection(self, tried.ingress, c.dialect),
-                        *door.addresses[c.dialect],
+                        *route.addresses[c.dialect],
                     )
             except (OSError, TimeoutError):
                 self.not_taken += 1
@@ -379,8 +379,8 @@
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
-        for door in self.routes:
+        for route in self.routes:
             for connection in [
-                connection for connections in door.idle.values() for connection in connections
+                connection for connections in route.idle.values() for connection in connections
             ]:
                 connection.abort()
--- a/ingress/testbed/load_generator.py
+++ b/ingress/testbed/load_generator.py
@@ -133,14 +133,14 @@
 
         Raises RuntimeError if a process ends without one.
         """
-        self._broadcast("doors", [(door.addresses, door.until) for door in self.routes])
+        self._broadcast("doors", [(route.addresses, route.until) for route in self.routes])
         self._broadcast("come", seconds)
-        sent = [door.until for door in self.routes]
+        sent = [route.until for route in self.routes]
         while not self.finished.is_set():
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.finished.wait(), ROUTE_UPDATE_INTERVAL_S)
-            if sent != (sent := [door.until for door in self.routes]):
-                self._broadcast("doors", [(door.addresses, door.until) for door in self.routes])
+            if sent != (sent := [route.until for route in self.routes]):
+                self._broadcast("doors", [(route.addresses, route.until) for route in self.routes])
         if len(self.parts) < len(self.processes):
             raise RuntimeError("a client process ended unexpectedly")
         self._merge()
@@ -203,8 +203,8 @@
     def on_message(message: Any) -> None:
         match message:
             case "doors", rows:
-                for door, (addresses, until) in zip(customers.routes, rows, strict=True):
-                    door.addresses, door.until = addresses, until
+                for route, (addresses, until) in zip(customers.routes, rows, strict=True):
+                    route.addresses, route.until = addresses, until
             case "surge", plan, factor:
                 customers.surge(plan, factor)
             case "shift", share:
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -124,11 +124,11 @@
             self.publisher.publish_initial(self._entries(server, "ready", 0.0))
         for ingress in self.ingresses:
             await self._set_address(f"clients>{ingress.name}", ingress.address, linked)
-            door = self.customers.routes[ingress.number]
-            door.addresses = ingress.listeners | {
+            route = self.customers.routes[ingress.number]
+            route.addresses = ingress.listeners | {
                 OLD_DIALECT: self.addresses[f"clients>{ingress.name}"]
             }
-            door.link = self.links.get(f"clients>{ingress.name}")
+            route.link = self.links.get(f"clients>{ingress.name}")
         await asyncio.gather(*(self.start(ingress) for ingress in self.ingresses))
         for ingress in self.ingresses:
             ingress.sample()
@@ -195,8 +195,8 @@
             self.record.told.append(
                 Told(n, server.name, listed.get(server.name, "gone"), ingress.life.up)
             )
-        door = self.customers.routes[n]
-        door.until = float("inf")
+        route = self.customers.routes[n]
+        route.until = float("inf")
         self._start_task(self._watch(ingress))
 
     async def _watch(self, ingress: Ingress) -> None:
@@ -348,7 +348,7 @@
         link.strike("pass")
 
     async def _strike_ingress(self, kind: str, ingress: Ingress, seconds: float) -> None:
-        process, life, door = ingress.process, ingress.life, self.customers.routes[ingress.number]
+        process, life, route = ingress.process, ingress.life, self.customers.routes[ingress.number]
         if process is None or life is None or process.returncode is not None or life.how:
             return  # it is down or already terminating
         if kind == "pause":
@@ -361,7 +361,7 @@
             life.pauses[-1] = start, self.clock() + 0.3
             return
         if kind == "kill":
-            door.until = self.clock() + ROUTE_AFTER_KILL_S
+            route.until = self.clock() + ROUTE_AFTER_KILL_S
             ingress.signal(signal.SIGCONT)
             ingress.signal(signal.SIGKILL, "killed")
             await process.wait()
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -236,8 +236,8 @@
     def kill(self, number: int) -> None:
         """Kills an instance, paused or not."""
         ingress = self.world.ingresses[number]
-        door = self.world.customers.routes[number]
-        door.until = self.world.clock() + 0.5
+        route = self.world.customers.routes[number]
+        route.until = self.world.clock() + 0.5
         ingress.signal(signal.SIGCONT)
         ingress.signal(signal.SIGKILL, "killed")
 
