--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -78,7 +78,9 @@
         self.transport = cast(asyncio.Transport, transport)
         self.port = self.transport.get_extra_info("sockname")[1]
         self.customers.connections += 1
-        self.customers.most_lines = max(self.customers.most_lines, self.customers.connections)
+        self.customers.peak_connections = max(
+            self.customers.peak_connections, self.customers.connections
+        )
 
     def send(self, tried: Try, request: ClientRequest, words: RequestFields) -> None:
         assert self.transport is not None
@@ -154,7 +156,7 @@
         for customer in self.everyone if dialects else ():
             [customer.dialect] = drawn.choices(list(dialects), list(dialects.values()))
         self.factors = {plan.name: 1.0 for plan in deployment.plans}
-        self.count, self.open, self.connections, self.most_lines = 0, 0, 0, 0
+        self.count, self.open, self.connections, self.peak_connections = 0, 0, 0, 0
         self.ends_at = inf  # loop time after which no first attempts are sent
         self.behind = 0.0  # s, the largest delay of a first attempt after its scheduled time
         self.not_taken = 0  # attempts whose connection was refused or timed out
--- a/ingress/testbed/load_generator.py
+++ b/ingress/testbed/load_generator.py
@@ -33,7 +33,7 @@
     record: Record = field(default_factory=Record)
     asked: list[tuple[float, str, str, str, float]] = field(default_factory=list)
     not_taken: int = 0
-    most_lines: int = 0
+    peak_connections: int = 0
     behind: float = 0.0
 
 
@@ -78,7 +78,7 @@
         self.loop, self.record, self.clock = asyncio.get_running_loop(), record, clock
         self.routes = [IngressRoute() for _ in range(deployment.ingresses)]
         self.asked: list[tuple[float, str, str, str, float]] = []
-        self.not_taken, self.most_lines, self.behind = 0, 0, 0.0
+        self.not_taken, self.peak_connections, self.behind = 0, 0, 0.0
         self.progress = [(0, 0)] * count  # attempts and open requests last reported by each process
         self.parts: dict[int, ProcessRecord] = {}
         self.finished = asyncio.Event()
@@ -160,7 +160,7 @@
             self.record.tries += part.record.tries
             self.record.lags += part.record.lags
             self.not_taken += part.not_taken
-            self.most_lines += part.most_lines
+            self.peak_connections += part.peak_connections
             self.behind = max(self.behind, part.behind)
         self.record.tries.sort(key=lambda tried: tried.sent)
         self.record.lags.sort()
@@ -227,6 +227,6 @@
     await customers.generate_load(seconds)
     report_task.cancel()
     part.asked, part.not_taken = customers.asked, customers.not_taken
-    part.most_lines, part.behind = customers.most_lines, customers.behind
+    part.peak_connections, part.behind = customers.peak_connections, customers.behind
     customers.close()
     connection.send(part)
--- a/ingress/testbed/report.py
+++ b/ingress/testbed/report.py
@@ -50,7 +50,7 @@
         "files": [i.files for i in world.ingresses],
         "asked_per_s": round(len(world.customers.asked) / scenario.seconds, 1),
         "behind_s": round(world.customers.behind, 3),
-        "client_connections": world.customers.most_lines,
+        "client_connections": world.customers.peak_connections,
         "counter_calls": world.counter.calls,
         "counter_seen": world.counter.seen,
         "faults": [f"{at:.1f} s: {text.partition(': ')[2]}" for at, text in world.faults_done],
