--- a/ingress/testbed/ingresses.py
+++ b/ingress/testbed/ingresses.py
@@ -114,7 +114,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.life: Life | None = None
         self.is_up = False  # the process has answered a PING
-        self.cpu, self.most_rss, self.files = 0.0, 0.0, 0
+        self.cpu, self.peak_rss, self.files = 0.0, 0.0, 0
         self.memory: list[tuple[float, float]] = []  # time, resident MB
         self.sampled_cpu = 0.0  # s of the current process that `cpu` already includes
         self.core_wait = 0.0  # s that the current process was runnable but had no core
@@ -241,7 +241,7 @@
         except (OSError, IndexError, ValueError):
             return
         self.cpu += cpu - self.sampled_cpu
-        self.most_rss, self.sampled_cpu = max(self.most_rss, rss), cpu
+        self.peak_rss, self.sampled_cpu = max(self.peak_rss, rss), cpu
         self.memory.append((now, rss))
         if core_wait > self.core_wait:
             self.record.starved.append((now, self.number, core_wait - self.core_wait))
--- a/ingress/testbed/report.py
+++ b/ingress/testbed/report.py
@@ -43,7 +43,7 @@
         "cpu_us_per_request": [
             round(i.cpu * 1e6 / n) if n else 0 for i, n in zip(world.ingresses, each, strict=True)
         ],
-        "rss_mb": [round(i.most_rss, 1) for i in world.ingresses],
+        "rss_mb": [round(i.peak_rss, 1) for i in world.ingresses],
         "rss_mb_by_quarter": [
             quarters(i.memory, world.began, scenario.seconds) for i in world.ingresses
         ],
