--- a/ingress/testbed/handover_fleet.py
+++ b/ingress/testbed/handover_fleet.py
@@ -57,7 +57,7 @@
     def store(self, number: int) -> Path:
         return self.folder / f"store-{number}"
 
-    def part(self, one: Iterable[int], other: Iterable[int], both: bool = True) -> None:
+    def partition(self, one: Iterable[int], other: Iterable[int], both: bool = True) -> None:
         """Resets and refuses connections from `one` group to the `other`, and back if `both`."""
         for a in one:
             for b in other:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -232,7 +232,7 @@
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         # One way only: what 0 says comes to nobody, what others say comes to it.
-        fleet.crew.part({0}, {1, 2, 3, 4}, both=False)
+        fleet.crew.partition({0}, {1, 2, 3, 4}, both=False)
         await fleet.wait_for_counts({1, 2, 3, 4}, lambda s: s["there"] == 3, "it is not suspect")
         key = fleet.new_key_not_replicated_by(0)
         outcome = await fleet.submit(0, key)
@@ -245,7 +245,7 @@
         key = fleet.new_key()
         first = asyncio.create_task(fleet.submit(0, key, wait=3.0))
         await fleet.wait_until_forwarded(0, key)
-        fleet.crew.part({0, 1}, {2, 3, 4})
+        fleet.crew.partition({0, 1}, {2, 3, 4})
         await fleet.wait_for_counts({0, 1}, lambda s: s["there"] == 1, "not partitioned")
         await fleet.wait_for_counts({2, 3, 4}, lambda s: s["there"] == 2, "not partitioned")
         fleet.slow_down(1.0)
