--- a/ingress/testbed/handover_fleet.py
+++ b/ingress/testbed/handover_fleet.py
@@ -70,7 +70,7 @@
         for link in self.links.values():
             link.strike("delay", ms)
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         for link in self.links.values():
             link.strike("pass")
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -238,7 +238,7 @@
         outcome = await fleet.submit(0, key)
         assert outcome.kind == "served"
         assert (await fleet.verdict_counts({0}))["unprotected"] >= 1
-        fleet.crew.mend()
+        fleet.crew.heal()
         await fleet.wait_until_complete()
         # Each half has some of the copies; the submission is out at a server that does not answer.
         fleet.slow_down(30.0)
@@ -254,14 +254,14 @@
         )
         assert any(outcome.kind == "served" for outcome in halves), halves
         assert fleet.effects(key) == 1
-        fleet.crew.mend()
+        fleet.crew.heal()
         await fleet.wait_until_complete()
         # Copies that are acknowledged later than a submission waits for them.
         before = await fleet.verdict_counts()
         fleet.crew.slow(600.0)
         key = fleet.new_key_not_replicated_by(0)
         assert (await fleet.submit(0, key)).kind == "served"
-        fleet.crew.mend()
+        fleet.crew.heal()
         assert (await fleet.verdict_counts())["unprotected"] > before["unprotected"]
         start = fleet.world.clock()
         await fleet.wait_until(
