--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -298,9 +298,9 @@
     async def _inject_at(self, at: float, fault: Fault) -> None:
         await asyncio.sleep(max(0.0, at - self.loop.time()))
         self.faults_done.append((self.clock() - self.began, str(fault)))
-        await self._strike(fault)
+        await self._inject(fault)
 
-    async def _strike(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         number = int(fault.target.rpartition("-")[2]) if fault.target[-1].isdecimal() else -1
         seconds = fault.figures.get("seconds", 0.0)
         match fault.kind:
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -159,7 +159,7 @@
     async def case(stand: Stand) -> None:
         world = stand.world
         await stand.whole()
-        await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
+        await world._inject(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
         began = world.servers[2].start
         assert began is not None
         await stand.event(
