--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -309,7 +309,7 @@
             case "idle_clients" | "knocks":
                 await inject_crowd(self.addresses[f"clients>ingress-{number}"], fault)
             case "kill" | "term" | "pause":
-                await self._strike_ingress(fault.kind, self.ingresses[number], seconds)
+                await self._inject_ingress_fault(fault.kind, self.ingresses[number], seconds)
             case "slow" | "reset" | "silent" | "spoil" | "busy" | "unclear" | "later":
                 await self._degrade_server(fault, self.servers[number])
             case "move" | "restart" | "drain" | "upgrade" | "downgrade" | "halfway" | "swap":
@@ -347,7 +347,7 @@
         await asyncio.sleep(fault.figures["seconds"])
         link.strike("pass")
 
-    async def _strike_ingress(self, kind: str, ingress: Ingress, seconds: float) -> None:
+    async def _inject_ingress_fault(self, kind: str, ingress: Ingress, seconds: float) -> None:
         process, life, route = ingress.process, ingress.life, self.customers.routes[ingress.number]
         if process is None or life is None or process.returncode is not None or life.how:
             return  # it is down or already terminating
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -289,7 +289,7 @@
         tasks = []
         for number in range(5):
             tasks += [asyncio.create_task(submit(n)) for n in range(5) for _ in range(4)]
-            await fleet.world._strike_ingress("term", fleet.world.ingresses[number], 0.0)
+            await fleet.world._inject_ingress_fault("term", fleet.world.ingresses[number], 0.0)
             await fleet.wait_until_complete()
         await asyncio.gather(*tasks)
         assert sum(outcome.kind == "served" for outcome in done) >= 95, done
