--- a/ingress/testbed/client_codecs.py
+++ b/ingress/testbed/client_codecs.py
@@ -50,7 +50,7 @@
 class ClientCodec(Protocol):
     """The codec of one connection."""
 
-    def ask(self, words: RequestFields) -> bytes: ...
+    def ask(self, request: RequestFields) -> bytes: ...
 
     def receive(self, data: bytes) -> ClientResponse | None:
         """Returns the response once it is complete, None before."""
@@ -65,19 +65,19 @@
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
 
-    def ask(self, words: RequestFields) -> bytes:
+    def ask(self, request: RequestFields) -> bytes:
         text = (
-            f"c={words.request_class},t={words.plan},d={round(words.wait * 1000)}"
-            + (f",k={words.key}" if words.key else "")
-            + (",r=1" if words.retry else "")
-            + f",units=1,spread={words.spread},first={words.first}"
+            f"c={request.request_class},t={request.plan},d={round(request.wait * 1000)}"
+            + (f",k={request.key}" if request.key else "")
+            + (",r=1" if request.retry else "")
+            + f",units=1,spread={request.spread},first={request.first}"
         )
         parts = [
-            b"API.READ" if words.safe else b"API.WRITE",
-            words.customer.encode(),
-            words.id.encode(),
+            b"API.READ" if request.safe else b"API.WRITE",
+            request.customer.encode(),
+            request.id.encode(),
             text.encode(),
-            *([] if words.safe else [words.solution]),
+            *([] if request.safe else [request.solution]),
         ]
         return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
@@ -109,8 +109,8 @@
         super().__init__()
         self.hello_sent, self.hello_pending = False, False
 
-    def ask(self, words: RequestFields) -> bytes:
-        data = super().ask(words)
+    def ask(self, request: RequestFields) -> bytes:
+        data = super().ask(request)
         if self.hello_sent:
             return data
         self.hello_sent = self.hello_pending = True
@@ -148,35 +148,35 @@
         self.http = self.h11.Connection(self.h11.CLIENT)
         self.status, self.wait, self.body = 0, 0.0, b""
 
-    def ask(self, words: RequestFields) -> bytes:
+    def ask(self, request: RequestFields) -> bytes:
         fields = [
             ("Host", "grid.example.org"),
-            ("X-Request-Id", words.id),
-            ("Grid-Customer", words.customer),
-            ("Grid-Plan", words.plan),
-            ("Grid-Deadline-Ms", str(round(words.wait * 1000))),
+            ("X-Request-Id", request.id),
+            ("Grid-Customer", request.customer),
+            ("Grid-Plan", request.plan),
+            ("Grid-Deadline-Ms", str(round(request.wait * 1000))),
             ("Grid-Units", "1"),
-            ("Grid-Spread", str(words.spread)),
-            ("Grid-First", str(words.first)),
-            ("Grid-Retry", "1" if words.retry else "0"),
+            ("Grid-Spread", str(request.spread)),
+            ("Grid-First", str(request.first)),
+            ("Grid-Retry", "1" if request.retry else "0"),
         ]
         body = b""
-        if not words.safe:
+        if not request.safe:
             body = json.dumps(
                 {
-                    "class": words.request_class,
-                    "solution": base64.b64encode(words.solution).decode(),
+                    "class": request.request_class,
+                    "solution": base64.b64encode(request.solution).decode(),
                 }
             ).encode()
             fields += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        if words.key:
-            fields.append(("Idempotency-Key", f'"{uuid_for(words.key)}"'))
-        target = f"/v2/grids/{words.request_class}" if words.safe else "/v2/solutions"
+        if request.key:
+            fields.append(("Idempotency-Key", f'"{uuid_for(request.key)}"'))
+        target = f"/v2/grids/{request.request_class}" if request.safe else "/v2/solutions"
         self.status, self.wait, self.body = 0, 0.0, b""
         chunks: list[bytes] = [
             self.http.send(
                 self.h11.Request(
-                    method="GET" if words.safe else "POST", target=target, headers=fields
+                    method="GET" if request.safe else "POST", target=target, headers=fields
                 )
             ),
             *([self.http.send(self.h11.Data(data=body))] if body else []),
--- a/ingress/testbed/clients.py
+++ b/ingress/testbed/clients.py
@@ -82,11 +82,11 @@
             self.customers.peak_connections, self.customers.connections
         )
 
-    def send(self, tried: Try, request: ClientRequest, words: RequestFields) -> None:
+    def send(self, attempt: Try, request: ClientRequest, fields: RequestFields) -> None:
         assert self.transport is not None
-        data = self.codec.ask(words)
-        self.current, tried.first, self.used = (tried, request), not self.used, True
-        tried.sent = self.customers.clock()
+        data = self.codec.ask(fields)
+        self.current, attempt.first, self.used = (attempt, request), not self.used, True
+        attempt.sent = self.customers.clock()
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
@@ -96,18 +96,18 @@
                 self.last.extra += len(data)
             self.abort()
             return
-        tried, request = self.current
+        attempt, request = self.current
         response = self.codec.receive(data)
         if response is None:
             return
-        tried.answered, tried.kind, tried.value = now, response.kind, response.value
-        self.current, self.last = None, tried
+        attempt.answered, attempt.kind, attempt.value = now, response.kind, response.value
+        self.current, self.last = None, attempt
         if self.codec.has_trailing_data():
-            tried.extra += 1
+            attempt.extra += 1
             self.abort()
         else:
             self.idle.append(self)
-        self.customers.attempt_ended(tried, request, response.wait)
+        self.customers.attempt_ended(attempt, request, response.wait)
 
     def eof_received(self) -> None:
         self._on_end()
@@ -122,9 +122,9 @@
             self.idle.remove(self)
         cut = route.link is not None and route.link.broken.pop(self.port, None) is not None
         if self.current is not None:
-            (tried, request), self.current = self.current, None
-            tried.ended, tried.cut = self.customers.clock(), cut
-            self.customers.connection_broken(tried, request)
+            (attempt, request), self.current = self.current, None
+            attempt.ended, attempt.cut = self.customers.clock(), cut
+            self.customers.connection_broken(attempt, request)
         if self.transport is not None:
             self.transport.close()
 
@@ -267,7 +267,7 @@
         c, self.count = request.customer, self.count + 1
         name = f"{self.count:08x}{self.rng.getrandbits(32):08x}"
         patience = int(patience * 1000) / 1000
-        tried = Try(
+        attempt = Try(
             name,
             c.id,
             c.plan.name,
@@ -280,84 +280,84 @@
             ask=request.number,
             dialect=c.dialect,
         )
-        await self._send_on_connection(tried, request)
+        await self._send_on_connection(attempt, request)
 
     async def _send_on_connection(
-        self, tried: Try, request: ClientRequest, fresh: bool = False
+        self, attempt: Try, request: ClientRequest, fresh: bool = False
     ) -> None:
-        route, c = self.routes[tried.ingress], request.customer
+        route, c = self.routes[attempt.ingress], request.customer
         idle = route.idle[c.dialect]
         connection = idle.pop() if idle and not fresh else None
         if connection is None:
             try:
                 async with asyncio.timeout(0.5):
                     _, connection = await self.loop.create_connection(
-                        lambda: ClientConnection(self, tried.ingress, c.dialect),
+                        lambda: ClientConnection(self, attempt.ingress, c.dialect),
                         *route.addresses[c.dialect],
                     )
             except (OSError, TimeoutError):
                 self.not_taken += 1
-                self.attempt_ended(tried, request, 0.0)
+                self.attempt_ended(attempt, request, 0.0)
                 return
         if connection.transport is None or connection.transport.is_closing():
-            await self._send_on_connection(tried, request, fresh=True)
+            await self._send_on_connection(attempt, request, fresh=True)
             return
-        self.record.tries.append(tried)
+        self.record.tries.append(attempt)
         connection.send(
-            tried,
+            attempt,
             request,
             RequestFields(
-                tried.id,
-                tried.customer,
-                tried.plan,
-                tried.request_class,
-                tried.key,
-                tried.patience,
+                attempt.id,
+                attempt.customer,
+                attempt.plan,
+                attempt.request_class,
+                attempt.key,
+                attempt.patience,
                 c.spread,
                 c.first,
                 request.cls.semantics == "safe",
                 request.retry and self.deployment.marks,
             ),
         )
-        self.loop.call_later(tried.patience + 1.0, self._on_client_timeout, connection, tried)
+        self.loop.call_later(attempt.patience + 1.0, self._on_client_timeout, connection, attempt)
 
-    def _on_client_timeout(self, connection: ClientConnection, tried: Try) -> None:
+    def _on_client_timeout(self, connection: ClientConnection, attempt: Try) -> None:
         """Aborts the connection of an attempt whose client timeout has passed."""
-        if connection.current is not None and connection.current[0] is tried:
+        if connection.current is not None and connection.current[0] is attempt:
             connection.abort()
 
-    def connection_broken(self, tried: Try, request: ClientRequest) -> None:
+    def connection_broken(self, attempt: Try, request: ClientRequest) -> None:
         """Handles a connection that ended without a complete response.
 
         On a reused connection that ends within 0.05 s of the request, which may have crossed the
         close, the request is sent once more.
         """
-        if not tried.first and tried.ended - tried.sent < 0.05 and not tried.cut:
+        if not attempt.first and attempt.ended - attempt.sent < 0.05 and not attempt.cut:
             resent = Try(
-                tried.id,
-                tried.customer,
-                tried.plan,
-                tried.request_class,
-                tried.key,
-                tried.units,
-                tried.ingress,
+                attempt.id,
+                attempt.customer,
+                attempt.plan,
+                attempt.request_class,
+                attempt.key,
+                attempt.units,
+                attempt.ingress,
                 0.0,
-                tried.patience,
-                ask=tried.ask,
-                dialect=tried.dialect,
+                attempt.patience,
+                ask=attempt.ask,
+                dialect=attempt.dialect,
             )
             task = self.loop.create_task(self._send_on_connection(resent, request, fresh=True))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         else:
-            self.attempt_ended(tried, request, 0.0)
+            self.attempt_ended(attempt, request, 0.0)
 
-    def attempt_ended(self, tried: Try, request: ClientRequest, retry_after: float) -> None:
+    def attempt_ended(self, attempt: Try, request: ClientRequest, retry_after: float) -> None:
         """Handles the end of an attempt: the client may retry once, where a retry is safe."""
         self.open -= 1
-        if tried.kind == "served" or request.retry or self.rng.random() > self.deployment.retries:
+        if attempt.kind == "served" or request.retry or self.rng.random() > self.deployment.retries:
             return
-        refused = tried.kind == "refused" or not tried.sent
+        refused = attempt.kind == "refused" or not attempt.sent
         if not refused and request.cls.semantics == "unsafe":
             return
         if request.cls.semantics == "keyed" and self.clock() - request.at > request.cls.window / 2:
--- a/ingress/testbed/load_generator.py
+++ b/ingress/testbed/load_generator.py
@@ -155,14 +155,14 @@
         numbers = {(part, n): number for number, (_, part, n) in enumerate(asked)}
         self.asked = [row for row, _, _ in asked]
         for number, part in self.parts.items():
-            for tried in part.record.tries:
-                tried.ask = numbers[number, tried.ask]
+            for attempt in part.record.tries:
+                attempt.ask = numbers[number, attempt.ask]
             self.record.tries += part.record.tries
             self.record.lags += part.record.lags
             self.not_taken += part.not_taken
             self.peak_connections += part.peak_connections
             self.behind = max(self.behind, part.behind)
-        self.record.tries.sort(key=lambda tried: tried.sent)
+        self.record.tries.sort(key=lambda attempt: attempt.sent)
         self.record.lags.sort()
 
     def close(self) -> None:
--- a/ingress/testbed/signal_series.py
+++ b/ingress/testbed/signal_series.py
@@ -25,7 +25,7 @@
         self.world = world
         self.ingress = ingress
 
-    async def play(self, fault: Fault) -> None:
+    async def inject(self, fault: Fault) -> None:
         """Injects a fault, unless the ingress is not up or is already terminating.
 
         A process that has no signal handlers yet is terminated by any signal, so it gets none.
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -249,9 +249,14 @@
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        parts: list[Closable] = [*self.servers, *self.agents, *self.links.values(), self.counter]
-        for part in parts:
-            part.close()
+        components: list[Closable] = [
+            *self.servers,
+            *self.agents,
+            *self.links.values(),
+            self.counter,
+        ]
+        for component in components:
+            component.close()
         await asyncio.sleep(0)
 
     async def _probe_lag(self) -> None:
@@ -305,7 +310,7 @@
         seconds = fault.figures.get("seconds", 0.0)
         match fault.kind:
             case "reload" | "reload_term" | "term_twice" | "term_start" | "report":
-                await SignalSeries(self, self.ingresses[number]).play(fault)
+                await SignalSeries(self, self.ingresses[number]).inject(fault)
             case "idle_clients" | "knocks":
                 await inject_crowd(self.addresses[f"clients>ingress-{number}"], fault)
             case "kill" | "term" | "pause":
--- a/tests/test_lab_scenarios.py
+++ b/tests/test_lab_scenarios.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected"),
     [
         ("seconds = ", "not TOML"),
         ("secs = 3", "secs: not known; allowed are"),
@@ -58,15 +58,15 @@
     ],
 )
 def test_an_invalid_scenario_is_rejected_with_file_key_and_allowed_values(
-    text: str, words: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    text: str, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(ScenarioError) as error:
         read_scenario(text, str(path))
-    assert words in str(error.value) and str(path) in str(error.value)
+    assert expected in str(error.value) and str(path) in str(error.value)
     assert command.main(["--scenario", str(path)]) == command.USAGE_ERROR
-    assert words in capsys.readouterr().err
+    assert expected in capsys.readouterr().err
 
 
 def test_command_line_options_override_the_file_and_are_validated_too(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -89,18 +89,18 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "faults", "words"),
+    ("fault", "faults", "expected"),
     [
         ("close_unread", TERMS, "lost: the"),
         ("drops_second_reload", RELOADS, "did not apply the last of 2 configurations"),
     ],
 )
 def test_the_soak_reports_a_seeded_breach(
-    fault: str, faults: tuple[Fault, ...], words: str
+    fault: str, faults: tuple[Fault, ...], expected: str
 ) -> None:
     problems = problems_with(fault, faults)
-    assert any(words in text for text in problems), problems
-    assert not any(words in text for text in problems_with("none", faults))
+    assert any(expected in text for text in problems), problems
+    assert not any(expected in text for text in problems_with("none", faults))
 
 
 def test_a_usage_error_and_an_interrupt_have_their_own_exit_status() -> None:
