--- a/tests/test_lab_breaches.py
+++ b/tests/test_lab_breaches.py
@@ -15,7 +15,7 @@
 from ingress.testbed.invariant_checker import Breach, Verdict, held_back, judge
 from ingress.testbed.scenario import Fault, Scenario
 from ingress.testbed.world import running_world
-from tests.test_lab_scenarios import PLAYS
+from tests.test_lab_scenarios import MAX_RUNS
 
 SHORT_MEMORY = Deployment(rate=60.0, classes=(CLASSES[0], replace(CLASSES[1], window=0.5)))
 SCENARIOS = {
@@ -106,7 +106,7 @@
 ) -> tuple[Verdict, tuple[int, int]]:
     """Plays until a wanted breach is named or there is a verdict: a run that the machine was too busy for
     says nothing either way."""
-    for number in range(PLAYS):
+    for number in range(MAX_RUNS):
         verdict, held = played(scenario, fault, number)
         if verdict.judged or any(map(wanted, verdict.breaches)):
             break
