--- a/ingress/testbed/handover_fleet.py
+++ b/ingress/testbed/handover_fleet.py
@@ -1,4 +1,4 @@
-"""Ingresses that hand work over, with a link of the lab's on every way from one to another."""
+"""Ingresses with handover, and a link of the testbed on the path between each two of them."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from ingress.testbed.world import World
 
 
-class Crew:
-    """Gives each ingress an operator's file with [handover]; to be made before they start."""
+class HandoverLinks:
+    """Gives each ingress an operator configuration with [handover]; create it before they start."""
 
     def __init__(
         self, world: World, folder: Path, stores: bool = False, **settings: float | bool
@@ -33,10 +33,10 @@
         keys = self.folder / "crew-keys"
         keys.touch(mode=0o600)
         keys.write_text(f"1 {secrets.token_hex(32)}\n", encoding="ascii")
-        led = {pair: await link.open(self.real[pair[1]]) for pair, link in self.links.items()}
+        linked = {pair: await link.open(self.real[pair[1]]) for pair, link in self.links.items()}
         for n, ingress in enumerate(self.ingresses):
             addresses = {
-                other.name: self.real[n] if m == n else led[n, m]
+                other.name: self.real[n] if m == n else linked[n, m]
                 for m, other in enumerate(self.ingresses)
             }
             peers = ", ".join(
@@ -57,8 +57,8 @@
     def store(self, number: int) -> Path:
         return self.folder / f"store-{number}"
 
-    def part(self, one: Iterable[int], other: Iterable[int], both: bool = True) -> None:
-        """Connections from `one` to `other` are reset and refused, and back if `both`."""
+    def partition(self, one: Iterable[int], other: Iterable[int], both: bool = True) -> None:
+        """Resets and refuses connections from `one` group to the `other`, and back if `both`."""
         for a in one:
             for b in other:
                 if a != b:
@@ -70,7 +70,7 @@
         for link in self.links.values():
             link.strike("delay", ms)
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         for link in self.links.values():
             link.strike("pass")
 
--- a/ingress/testbed/report.py
+++ b/ingress/testbed/report.py
@@ -43,14 +43,14 @@
         "cpu_us_per_request": [
             round(i.cpu * 1e6 / n) if n else 0 for i, n in zip(world.ingresses, each, strict=True)
         ],
-        "rss_mb": [round(i.most_rss, 1) for i in world.ingresses],
+        "rss_mb": [round(i.peak_rss, 1) for i in world.ingresses],
         "rss_mb_by_quarter": [
             quarters(i.memory, world.began, scenario.seconds) for i in world.ingresses
         ],
         "files": [i.files for i in world.ingresses],
         "asked_per_s": round(len(world.customers.asked) / scenario.seconds, 1),
         "behind_s": round(world.customers.behind, 3),
-        "client_connections": world.customers.most_lines,
+        "client_connections": world.customers.peak_connections,
         "counter_calls": world.counter.calls,
         "counter_seen": world.counter.seen,
         "faults": [f"{at:.1f} s: {text.partition(': ')[2]}" for at, text in world.faults_done],
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -20,9 +20,9 @@
 from ingress.handover.messages import record_name
 from ingress.handover.replica import replicas_for
 from ingress.testbed.backend_server import GridServer
-from ingress.testbed.client_codecs import RespVoice, Words
+from ingress.testbed.client_codecs import RespClientCodec, RequestFields
 from ingress.testbed.deployment import Deployment
-from ingress.testbed.handover_fleet import Crew
+from ingress.testbed.handover_fleet import HandoverLinks
 from ingress.testbed.invariant_checker import Verdict, judge
 from ingress.testbed.record import Arrival, Try
 from ingress.testbed.scenario import Scenario
@@ -68,7 +68,7 @@
     """A running testbed whose instances use handover."""
 
     world: World
-    crew: Crew
+    crew: HandoverLinks
     keys: set[str] = field(default_factory=set)
 
     def new_key(self) -> str:
@@ -97,7 +97,7 @@
     ) -> ClientOutcome:
         """Sends one attempt through an instance; `wait`: the client's timeout in seconds."""
         words = self._words(key, wait)
-        codec = RespVoice()
+        codec = RespClientCodec()
         data = codec.ask(words)
         if body:
             length = len(words.solution)
@@ -113,13 +113,13 @@
             return ClientOutcome("broken")
         return outcome
 
-    def _words(self, key: str, wait: float) -> Words:
+    def _words(self, key: str, wait: float) -> RequestFields:
         request_id = f"{next(request_numbers):08x}{REQUEST_ID_SUFFIX}"
-        return Words(
+        return RequestFields(
             request_id, customer_of(key), "plus", "solution-submit", key, wait, 1, 0, False, False
         )
 
-    def _new_recorded_try(self, words: Words, ingress: int) -> Try:
+    def _new_recorded_try(self, words: RequestFields, ingress: int) -> Try:
         return Try(
             words.id,
             words.customer,
@@ -135,7 +135,7 @@
         )
 
     async def _exchange(
-        self, ingress: int, codec: RespVoice, data: bytes, recorded_try: Try
+        self, ingress: int, codec: RespClientCodec, data: bytes, recorded_try: Try
     ) -> ClientOutcome | None:
         """Returns the outcome, or None if the connection ended without a response."""
         clock = self.world.clock
@@ -145,7 +145,7 @@
         self.world.record.tries.append(recorded_try)
         writer.write(data)
         while received := await reader.read(65536):
-            reply = codec.hear(received)
+            reply = codec.receive(received)
             if reply is not None:
                 writer.close()
                 recorded_try.answered = clock()
@@ -238,8 +238,8 @@
     def kill(self, number: int) -> None:
         """Kills an instance, even if it is paused."""
         ingress = self.world.ingresses[number]
-        door = self.world.customers.doors[number]
-        door.until = self.world.clock() + 0.5
+        route = self.world.customers.routes[number]
+        route.until = self.world.clock() + 0.5
         ingress.signal(signal.SIGCONT)
         ingress.signal(signal.SIGKILL, "killed")
 
@@ -282,7 +282,7 @@
         world = World(scenario, folder, f"exec {sys.executable} -m ingress")
         for number, command in commands.items():
             world.ingresses[number].command = command
-        crew = Crew(world, folder, stores, **settings)
+        crew = HandoverLinks(world, folder, stores, **settings)
         try:
             await crew.open()
             await world.open()
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -167,7 +167,7 @@
     async def case(stand: FleetHarness) -> None:
         world = stand.world
         await stand.wait_for_all_members()
-        await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
+        await world._inject(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
         restart = world.servers[2].start
         assert restart is not None
         await stand.wait_for_testbed(
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -87,7 +87,7 @@
     async def case(stand: FleetHarness) -> None:
         await stand.wait_for_all_members()
         for n in range(6):
-            stand.world.customers.doors[n].until = stand.world.clock() + 0.5
+            stand.world.customers.routes[n].until = stand.world.clock() + 0.5
             stand.world.ingresses[n].signal(signal.SIGKILL, "killed")
         rest = set(range(6, COUNT))
         fleet_counts = await stand.until(
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -242,7 +242,7 @@
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
         # One way only: messages of instance 0 are lost, messages to it arrive.
-        fleet.crew.part({0}, {1, 2, 3, 4}, both=False)
+        fleet.crew.partition({0}, {1, 2, 3, 4}, both=False)
         await fleet.wait_for_counts(
             {1, 2, 3, 4}, lambda counts: counts["there"] == 3, "instance 0 is not suspect"
         )
@@ -250,14 +250,14 @@
         outcome = await fleet.submit(0, key)
         assert outcome.kind == "served"
         assert (await fleet.verdict_counts({0}))["unprotected"] >= 1
-        fleet.crew.mend()
+        fleet.crew.heal()
         await fleet.wait_until_complete()
         # Each side has some of the replicas; the submission is in flight at a slow backend.
         fleet.slow_down(30.0)
         key = fleet.new_key()
         first = asyncio.create_task(fleet.submit(0, key, wait=3.0))
         await fleet.wait_until_forwarded(0, key)
-        fleet.crew.part({0, 1}, {2, 3, 4})
+        fleet.crew.partition({0, 1}, {2, 3, 4})
         await fleet.wait_for_counts({0, 1}, lambda counts: counts["there"] == 1, "not partitioned")
         await fleet.wait_for_counts(
             {2, 3, 4}, lambda counts: counts["there"] == 2, "not partitioned"
@@ -268,14 +268,14 @@
         )
         assert any(outcome.kind == "served" for outcome in outcomes), outcomes
         assert fleet.effects(key) == 1
-        fleet.crew.mend()
+        fleet.crew.heal()
         await fleet.wait_until_complete()
         # Replicas that reply later than `max_delay`.
         before = await fleet.verdict_counts()
         fleet.crew.slow(600.0)
         key = fleet.new_key_not_replicated_by(0)
         assert (await fleet.submit(0, key)).kind == "served"
-        fleet.crew.mend()
+        fleet.crew.heal()
         assert (await fleet.verdict_counts())["unprotected"] > before["unprotected"]
         start = fleet.world.clock()
         await fleet.wait_until(
@@ -303,7 +303,7 @@
         clients = []
         for number in range(5):
             clients += [asyncio.create_task(submit(n)) for n in range(5) for _ in range(4)]
-            await fleet.world._strike_ingress("term", fleet.world.ingresses[number], 0.0)
+            await fleet.world._inject_ingress_fault("term", fleet.world.ingresses[number], 0.0)
             await fleet.wait_until_complete()
         await asyncio.gather(*clients)
         assert sum(outcome.kind == "served" for outcome in done) >= 95, done
