--- a/ingress/testbed/backend_server.py
+++ b/ingress/testbed/backend_server.py
@@ -1,4 +1,4 @@
-"""Grid servers' stand-ins: cores, a queue, a cold start that can fall over, key memory, drains and faults."""
+"""Stub grid servers: cores, a queue, cold starts with overload, a memory of keys, drains and faults."""
 
 from __future__ import annotations
 
@@ -18,129 +18,155 @@
 if TYPE_CHECKING:
     from ingress.testbed.links import Side
 
-MOST_CONNECTIONS = 1000
-IDLE = 15.0  # s after which an idle connection is closed
-SPOILT = b"*3\r\n$-1\r\n$-1\r\n$-1\r\n"
+MAX_CONNECTIONS = 1000
+IDLE_TIMEOUT_S = 15.0
+MALFORMED_REPLY = b"*3\r\n$-1\r\n$-1\r\n$-1\r\n"
 
 
 class Keys:
-    """The fleet's memory of keys: a repeat within a class's window is dropped."""
+    """The idempotency keys that a group of servers remembers.
+
+    A repeat within its class's deduplication window has no effect.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.ran: dict[str, float] = {}
+        self.run_at: dict[str, float] = {}  # by key
+
+    def record_run(self, key: str, now: float, window: float) -> bool:
+        """Returns whether a run with the key takes effect, and remembers the key if so.
 
-    def effect(self, key: str, now: float, window: float) -> bool:
-        """Whether a run with that key takes effect; it is remembered then."""
-        if now < self.ran.get(key, float("-inf")) + window:
+        Args:
+            key: The idempotency key.
+            now: The time in seconds.
+            window: Seconds for which the class's keys are remembered.
+        """
+        if now < self.run_at.get(key, float("-inf")) + window:
             return False
-        self.ran[key] = now
+        self.run_at[key] = now
         return True
 
 
 class Seat(asyncio.Protocol):
-    """A connection of an ingress.  A request begins when its last byte has come."""
+    """A connection from an ingress.  A request starts once its last byte is received."""
 
     def __init__(self, server: GridServer, ingress: int) -> None:
         self.server, self.ingress, self.reader = server, ingress, hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.began: float | None = None  # when the first byte of a command came that is not whole
-        self.open: deque[Arrival] = deque()  # in the order of their answers
-        self.answers: dict[str, bytes] = {}
-        self.side: Side | None = None
-        self.used = 0.0
+        self.command_began_at: float | None = None  # first byte of an incomplete command
+        self.unanswered: deque[Arrival] = deque()  # in the order of the responses
+        self.responses: dict[str, bytes] = {}  # not written yet, by request id
+        self.link_side: Side | None = None
+        self.last_used = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.used = self.server.clock()
-        if len(self.server.seats) >= MOST_CONNECTIONS:
+        self.last_used = self.server.clock()
+        if len(self.server.seats) >= MAX_CONNECTIONS:
             self.transport.abort()
         self.server.seats.add(self)
 
-    def see(self) -> float:
-        """Something came: the time; and when the command began that it belongs to is noted."""
-        if self.side is None and self.transport is not None:
-            self.side = self.server.pairs.get(self.transport.get_extra_info("peername")[1])
+    def record_receipt(self) -> float:
+        """Returns the time of a receipt, and sets when the command that it belongs to began."""
+        if self.link_side is None and self.transport is not None:
+            self.link_side = self.server.pairs.get(self.transport.get_extra_info("peername")[1])
         now = self.server.clock()
-        if self.began is None:
-            # A link's delay lies between the ingress's sending and this.
-            self.began = now - (
-                self.side.link.delay if self.side and self.side.link.mode == "delay" else 0.0
+        if self.command_began_at is None:
+            # The ingress sent it before the link's delay.
+            self.command_began_at = now - (
+                self.link_side.link.delay
+                if self.link_side and self.link_side.link.mode == "delay"
+                else 0.0
             )
         return now
 
     def data_received(self, data: bytes) -> None:
-        now = self.see()
+        now = self.record_receipt()
         try:
             self.reader.feed(data)
             while (words := self.reader.gets()) is not False:
-                self.used = now
-                if not self.greet(words):
-                    self.server.take(self, words, now if self.began is None else self.began, now)
-                self.began = now
+                self.last_used = now
+                if not self.handle_greeting(words):
+                    self.server.receive_command(
+                        self,
+                        words,
+                        now if self.command_began_at is None else self.command_began_at,
+                        now,
+                    )
+                self.command_began_at = now
         except hiredis.HiredisError:
             self.abort()
             return
         if not self.reader.has_data():
-            self.began = None
+            self.command_began_at = None
 
-    def greet(self, words: list[bytes]) -> bool:
-        """Takes what a dialect says before its first request."""
+    def handle_greeting(self, words: list[bytes]) -> bool:
+        """Returns whether the command is the dialect's greeting, which it answers."""
         return False
 
-    def value(self, arrival: Arrival, value: bytes) -> None:
+    def send_value(self, arrival: Arrival, value: bytes) -> None:
         self.write(arrival, b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value))
 
-    def busy(self, arrival: Arrival) -> None:
+    def send_busy(self, arrival: Arrival) -> None:
         self.write(arrival, b"-BUSY\r\n")
 
-    def spoil(self, arrival: Arrival) -> None:
-        self.write(arrival, SPOILT)
+    def send_malformed(self, arrival: Arrival) -> None:
+        self.write(arrival, MALFORMED_REPLY)
 
-    def unclear(self, arrival: Arrival) -> None:
-        """It ran, and the answer does not say so."""
+    def send_unclear(self, arrival: Arrival) -> None:
+        """Answers a request that ran with an error that does not say so."""
         self.write(arrival, b"-ERR failed\r\n")
 
-    def later(self, arrival: Arrival) -> None:
-        """It ran, and the result is to be had later; who has no words for that says what is next to it."""
-        self.unclear(arrival)
+    def send_accepted(self, arrival: Arrival) -> None:
+        """Answers a request that ran with a promise of its result.
+
+        A dialect without such a response sends its unclear error.
+        """
+        self.send_unclear(arrival)
 
     def write(self, arrival: Arrival, data: bytes) -> None:
-        """Answers go out in the order of the commands."""
-        self.answers[arrival.id] = data
-        while self.open and (found := self.answers.pop(self.open[0].id, None)) is not None:
-            done = self.open.popleft()
+        """Writes a response once all earlier commands have theirs."""
+        self.responses[arrival.id] = data
+        while (
+            self.unanswered
+            and (response := self.responses.pop(self.unanswered[0].id, None)) is not None
+        ):
+            done = self.unanswered.popleft()
             if self.transport is not None and not self.transport.is_closing():
-                self.transport.write(found)
+                self.transport.write(response)
                 done.out_until = min(done.out_until, self.server.clock())
 
     def eof_received(self) -> None:
-        self._gone()
+        self._end_requests()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._gone()
+        self._end_requests()
         self.server.seats.discard(self)
 
-    def _gone(self) -> None:
+    def _end_requests(self) -> None:
         ended = self.server.clock()
-        if self.side is not None:
+        if self.link_side is not None:
             ended = min(
-                ended, self.side.other.ended
-            )  # when the ingress ended it, before the link's way
-        for arrival in self.open:
+                ended, self.link_side.other.ended
+            )  # when the ingress ended it, before the link's delay
+        for arrival in self.unanswered:
             arrival.out_until = min(arrival.out_until, ended)
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
         if self.transport is not None:
-            self._gone()
+            self._end_requests()
             self.transport.abort()
 
 
 class GridServer:
-    """One grid server.  `fault`: "" or reset, silent, spoil, busy, unclear, later; `slower` divides its
-    speed."""
+    """One grid server.
+
+    Attributes:
+        fault: reset, silent, spoil, busy, unclear or later; empty for none.
+        slower: The factor that divides the server's speed.
+    """
 
     def __init__(
         self,
@@ -158,20 +184,30 @@
         self.name, self.zone, self.cell, self.speed = name, zone, cell, speed
         self.deployment, self.keys, self.record, self.clock = deployment, keys, record, clock
         self.pairs, self.seed, self.loop = pairs, seed, asyncio.get_running_loop()
-        self.seat: Callable[[GridServer, int], Seat] = Seat  # who speaks for it on a connection
+        self.seat: Callable[[GridServer, int], Seat] = (
+            Seat  # creates a protocol for each connection
+        )
         self.seats: set[Seat] = set()
         self.servers: list[asyncio.Server] = []
-        self.running: dict[str, asyncio.TimerHandle] = {}  # by the requests' ids
+        self.running: dict[str, asyncio.TimerHandle] = {}  # by request id
         self.queue: deque[tuple[Seat, Arrival]] = deque()
-        self.busy, self.count, self.slower = 0, 0, 1.0
-        self.start: Start | None = None  # of this process, if it began cold
-        self.recent: deque[tuple[float, float]] = deque()  # arrivals: when, and their work
+        self.busy, self.served_count, self.slower = 0, 0, 1.0
+        self.start: Start | None = None  # of this process, if it started cold
+        self.recent_work: deque[tuple[float, float]] = deque()  # time and work of each arrival
         self.fault, self.fell, self.closed, self.draining = "", False, False, False
-        self.kind, self.dialect = "small-2c", "resp2-v1"  # the kind as discovery names it
-        self.sweeper = self.loop.call_later(1.0, self._sweep)
+        self.kind, self.dialect = "small-2c", "resp2-v1"  # the kind in endpoint lists
+        self.idle_timer = self.loop.call_later(1.0, self._close_idle_connections)
 
     async def open(self, ingresses: int, ports: list[int] | None = None) -> list[tuple[str, int]]:
-        """Listens for each ingress at a port of its own: so it is known who sends.  `ports`: those."""
+        """Listens on one port for each ingress, which identifies the sender.
+
+        Args:
+            ingresses: The number of ingresses.
+            ports: The ports to listen on; by default the system chooses them.
+
+        Returns:
+            The addresses, in the order of the ingresses.
+        """
         self.closed = self.draining = self.fell = False
         self.servers = [
             await self.loop.create_server(partial(self.seat, self, n), host(STAND_INS), port)
@@ -185,11 +221,11 @@
         self.record.starts.append(self.start)
 
     def end(self) -> None:
-        """The process ends: its connections are reset, new ones refused, its work is gone."""
+        """Ends the process: resets its connections, refuses new ones and loses its work."""
         self.closed = True
         self.stop_listening()
-        for seat in list(self.seats):
-            seat.abort()
+        for connection in list(self.seats):
+            connection.abort()
         for handle in self.running.values():
             handle.cancel()
         self.running.clear()
@@ -205,49 +241,53 @@
         self.servers = []
 
     def close(self) -> None:
-        self.sweeper.cancel()
+        self.idle_timer.cancel()
         self.end()
 
     def capacity(self, at: float) -> float:
-        """Work a second that it can do: the whole, but for a cold start."""
+        """Returns the work per second that the server can do, which is less while it warms up."""
         full = self.deployment.cores * self.speed
         if self.start is None:
             return full
         warm = min(1.0, (at - self.start.at) / self.start.cold_time)
         return full * (self.start.cold_share + (1 - self.start.cold_share) * warm)
 
-    def take(self, seat: Seat, words: list[bytes], first: float, now: float) -> None:
-        arrival = self._read(seat, words, first, now)
+    def receive_command(
+        self, connection: Seat, words: list[bytes], first: float, now: float
+    ) -> None:
+        arrival = self._read(connection, words, first, now)
         if arrival is not None:
-            self.arrived(seat, arrival)
-        elif seat.transport is not None:
-            seat.transport.write(b"-SYNTAX\r\n")
+            self.arrived(connection, arrival)
+        elif connection.transport is not None:
+            connection.transport.write(b"-SYNTAX\r\n")
 
-    def arrived(self, seat: Seat, arrival: Arrival) -> None:
-        """A request has come whole, by whatever protocol."""
+    def arrived(self, connection: Seat, arrival: Arrival) -> None:
+        """Handles a complete request of any protocol."""
         now = arrival.at
         arrival.dialect = self.dialect
         if self.fault == "reset":
-            seat.abort()
+            connection.abort()
         self.record.arrivals.append(arrival)
         if self.fault == "reset":
             arrival.out_until = now
             return
-        seat.open.append(arrival)
-        self._weigh(arrival, now)
+        connection.unanswered.append(arrival)
+        self._check_cold_overload(arrival, now)
         if self.fell or self.fault == "silent":
             return
         if self.fault == "spoil":
-            seat.spoil(arrival)
+            connection.send_malformed(arrival)
         elif self.fault == "busy" or self.draining or len(self.queue) >= self.deployment.queue:
             arrival.may_have_run = False
-            seat.busy(arrival)
+            connection.send_busy(arrival)
         elif self.busy < self.deployment.cores:
-            self._begin(seat, arrival)
+            self._begin(connection, arrival)
         else:
-            self.queue.append((seat, arrival))
+            self.queue.append((connection, arrival))
 
-    def _read(self, seat: Seat, words: list[bytes], first: float, now: float) -> Arrival | None:
+    def _read(
+        self, connection: Seat, words: list[bytes], first: float, now: float
+    ) -> Arrival | None:
         try:
             verb, customer, name, text, *body = (word.decode("latin-1") for word in words)
             names = dict(pair.split("=", 1) for pair in text.split(","))
@@ -264,7 +304,7 @@
                 names.get("k", ""),
                 float(names["units"]),
                 self.name,
-                seat.ingress,
+                connection.ingress,
                 first,
                 now,
                 work,
@@ -274,59 +314,69 @@
             return None
 
     def work(self, name: str) -> float:
-        """Mostly like the mean, some much longer: an exponential with its tail cut off."""
+        """Returns a request's work: exponential, with the tail cut off at five times the mean."""
         rng = random.Random(f"{self.seed} {name} {self.name}")
         return min(rng.expovariate(1.0), 5.0) * self.deployment.mean_work
 
-    def _weigh(self, arrival: Arrival, now: float) -> None:
-        """A cold process that is sent too much falls over, and stays down."""
+    def _check_cold_overload(self, arrival: Arrival, now: float) -> None:
+        """Makes a cold process that receives too much work fall over for good."""
         d = self.deployment
         if self.start is None or now > self.start.at + self.start.cold_time:
             return
-        self.recent.append((now, arrival.work))
-        while self.recent[0][0] < now - d.fall_time:
-            self.recent.popleft()
+        self.recent_work.append((now, arrival.work))
+        while self.recent_work[0][0] < now - d.fall_time:
+            self.recent_work.popleft()
         budget = d.fall_factor * self.capacity(now) * d.fall_time
-        if sum(work for _, work in self.recent) > budget + 4.0 * d.mean_work:
+        if sum(work for _, work in self.recent_work) > budget + 4.0 * d.mean_work:
             self.fell = True
 
-    def _begin(self, seat: Seat, arrival: Arrival) -> None:
+    def _begin(self, connection: Seat, arrival: Arrival) -> None:
         self.busy += 1
         now = self.clock()
         rate = self.capacity(now) / self.deployment.cores / self.slower
         cls = self.deployment.by_class[arrival.request_class]
         arrival.effect = cls.semantics != "safe" and (
-            not arrival.key or self.keys.effect(arrival.key, now, cls.window)
+            not arrival.key or self.keys.record_run(arrival.key, now, cls.window)
         )
         self.running[arrival.id] = self.loop.call_later(
-            arrival.work / rate, self._done, seat, arrival
+            arrival.work / rate, self._done, connection, arrival
         )
 
-    def _done(self, seat: Seat, arrival: Arrival) -> None:
+    def _done(self, connection: Seat, arrival: Arrival) -> None:
         self.running.pop(arrival.id, None)
         self.busy -= 1
         if not self.fell and self.fault != "silent":
             if self.fault in ("unclear", "later"):
-                (seat.unclear if self.fault == "unclear" else seat.later)(arrival)
+                (connection.send_unclear if self.fault == "unclear" else connection.send_accepted)(
+                    arrival
+                )
                 self._next()
                 return
-            self.count += 1
-            value = b"%b of %b, answer %d" % (arrival.id.encode(), self.name.encode(), self.count)
+            self.served_count += 1
+            value = b"%b of %b, answer %d" % (
+                arrival.id.encode(),
+                self.name.encode(),
+                self.served_count,
+            )
             arrival.value = value
-            seat.value(arrival, value)
+            connection.send_value(arrival, value)
         self._next()
 
     def _next(self) -> None:
         while self.queue and self.busy < self.deployment.cores:
-            waiting, following = self.queue.popleft()
-            if following.out_until < self.clock():
-                following.may_have_run = False  # nobody waits for it any more: it is dropped unrun
+            connection, arrival = self.queue.popleft()
+            if arrival.out_until < self.clock():
+                arrival.may_have_run = False  # dropped without a run: the client no longer waits
                 continue
-            self._begin(waiting, following)
+            self._begin(connection, arrival)
 
-    def _sweep(self) -> None:
-        self.sweeper = self.loop.call_later(1.0, self._sweep)
+    def _close_idle_connections(self) -> None:
+        self.idle_timer = self.loop.call_later(1.0, self._close_idle_connections)
         now = self.clock()
-        for seat in list(self.seats):
-            if not seat.open and now - seat.used > IDLE and seat.transport is not None:
-                seat.transport.close()
+        for connection in list(self.seats):
+            if (
+                not connection.unanswered
+                and now - connection.last_used > IDLE_TIMEOUT_S
+                and connection.transport is not None
+            ):
+                connection.transport.close()
--- a/ingress/testbed/backend_server_http.py
+++ b/ingress/testbed/backend_server_http.py
@@ -1,4 +1,7 @@
-"""A new grid server's side of a connection (http-v2), on h11: another codec than the ingress's."""
+"""The server's side of a connection with dialect http-v2.
+
+It uses h11, a different codec from the ingress's.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 class HttpSeat(Seat):
-    """A connection of an ingress that carries HTTP/1.1."""
+    """A connection from an ingress that carries HTTP/1.1."""
 
     def __init__(self, server: GridServer, ingress: int) -> None:
         super().__init__(server, ingress)
@@ -38,7 +41,7 @@
         self.body = b""
 
     def data_received(self, data: bytes) -> None:
-        now = self.see()
+        now = self.record_receipt()
         try:
             self.http.receive_data(data)
             while True:
@@ -46,26 +49,29 @@
                 if isinstance(event, h11.Request):
                     self.request, self.body = event, b""
                     if self.http.they_are_waiting_for_100_continue:
-                        self._out(
+                        self._write(
                             self.http.send(h11.InformationalResponse(status_code=100, headers=[]))
                         )
                 elif isinstance(event, h11.Data):
                     self.body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
-                    self._whole(now)
+                    self._end_request(now)
                 else:
                     break
         except h11.RemoteProtocolError:
             self.abort()
 
-    def _whole(self, now: float) -> None:
-        request, first = self.request, now if self.began is None else self.began
-        self.began, self.used = None, now
+    def _end_request(self, now: float) -> None:
+        request, first = (
+            self.request,
+            now if self.command_began_at is None else self.command_began_at,
+        )
+        self.command_began_at, self.last_used = None, now
         assert request is not None
         fields = {n.decode(): v.decode("latin-1") for n, v in request.headers}
         arrival = self._read(request, fields, first, now)
         if arrival is None:
-            self.answer(400, {"type": PROBLEM + "malformed"})
+            self.respond(400, {"type": PROBLEM + "malformed"})
         else:
             self.server.arrived(self, arrival)
 
@@ -77,9 +83,9 @@
             if request.method == b"GET" and target.startswith("/v2/grids/"):
                 cls = target.removeprefix("/v2/grids/")
             elif request.method == b"POST" and target == "/v2/solutions":
-                told = json.loads(self.body)
-                cls = told["class"]
-                base64.b64decode(told["solution"], validate=True)
+                document = json.loads(self.body)
+                cls = document["class"]
+                base64.b64decode(document["solution"], validate=True)
             else:
                 return None
             if (server.deployment.by_class[cls].semantics == "safe") is not (
@@ -107,29 +113,29 @@
         except (KeyError, ValueError, TypeError, binascii.Error):
             return None
 
-    def value(self, arrival: Arrival, value: bytes) -> None:
-        self.answer(200, {"id": arrival.id, "value": base64.b64encode(value).decode()}, arrival)
+    def send_value(self, arrival: Arrival, value: bytes) -> None:
+        self.respond(200, {"id": arrival.id, "value": base64.b64encode(value).decode()}, arrival)
 
-    def busy(self, arrival: Arrival) -> None:
-        self.answer(429, {"type": PROBLEM + "not-started"}, arrival, [("Retry-After", "1")])
+    def send_busy(self, arrival: Arrival) -> None:
+        self.respond(429, {"type": PROBLEM + "not-started"}, arrival, [("Retry-After", "1")])
 
-    def spoil(self, arrival: Arrival) -> None:
-        self.answer(200, {"id": arrival.id}, arrival)
+    def send_malformed(self, arrival: Arrival) -> None:
+        self.respond(200, {"id": arrival.id}, arrival)
 
-    def unclear(self, arrival: Arrival) -> None:
-        self.answer(503, {"title": "not now"}, arrival)
+    def send_unclear(self, arrival: Arrival) -> None:
+        self.respond(503, {"title": "not now"}, arrival)
 
-    def later(self, arrival: Arrival) -> None:
-        self.answer(202, {"id": arrival.id, "result": f"/v2/results/{arrival.id}"}, arrival)
+    def send_accepted(self, arrival: Arrival) -> None:
+        self.respond(202, {"id": arrival.id, "result": f"/v2/results/{arrival.id}"}, arrival)
 
-    def answer(
+    def respond(
         self,
         status: int,
         body: object,
         arrival: Arrival | None = None,
         fields: list[tuple[str, str]] | None = None,
     ) -> None:
-        """One response; HTTP/1.1 carries one request at a time here."""
+        """Sends one response; a connection carries one request at a time."""
         text = json.dumps(body).encode()
         kind = "application/json" if status < 300 else "application/problem+json"
         data = (
@@ -149,7 +155,7 @@
         data += self.http.send(h11.Data(data=text)) or b""
         data += self.http.send(h11.EndOfMessage()) or b""
         if arrival is None:
-            self._out(data)
+            self._write(data)
         else:
             self.write(arrival, data)
         if self.http.our_state is h11.MUST_CLOSE:
@@ -158,6 +164,6 @@
         else:
             self.http.start_next_cycle()
 
-    def _out(self, data: bytes | None) -> None:
+    def _write(self, data: bytes | None) -> None:
         if self.transport is not None and data and not self.transport.is_closing():
             self.transport.write(data)
--- a/ingress/testbed/counter.py
+++ b/ingress/testbed/counter.py
@@ -1,4 +1,4 @@
-"""The counter's stand-in: named totals on a few parts of fixed capacity, one call after another."""
+"""A stub counter: named totals on a few parts, each of which handles its calls in order at a fixed rate."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from ingress.testbed.loopback_addresses import STAND_INS, host
 
 CALL = re.compile(rb"add (\S{1,64}) (-?\d{1,10}(?:\.\d{1,12})?) (\d{1,12})")
-LONGEST = 256  # bytes of a line
-MOST_BACKLOG = 2.0  # s of calls that wait at a part; more are turned away as busy
-LONGEST_LIFE = 60.0  # s
-KEEP, KEPT = 0.5, 60.0  # s between copies that are kept, and for how long they are
+MAX_LINE_BYTES = 256
+MAX_BACKLOG_S = 2.0  # of calls that wait at a part, which rejects more as busy
+MAX_LIFETIME_S = 60.0
+SNAPSHOT_INTERVAL_S, SNAPSHOT_AGE_S = 0.5, 60.0  # the oldest snapshots are dropped
 
 
 class Caller(asyncio.Protocol):
-    """One connection: calls in, answers in their order."""
+    """One connection: it answers calls in their order."""
 
     def __init__(self, counter: CounterStandIn, ingress: int) -> None:
-        self.counter, self.ingress, self.rest, self.last = counter, ingress, b"", 0.0
+        self.counter, self.ingress, self.rest, self.last_answer_at = counter, ingress, b"", 0.0
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -39,12 +39,12 @@
     def data_received(self, data: bytes) -> None:
         *lines, self.rest = (self.rest + data).split(b"\r\n")
         for line in lines:
-            self.counter.take(self, line)
-        if len(self.rest) > LONGEST and self.transport is not None:
+            self.counter.handle(self, line)
+        if len(self.rest) > MAX_LINE_BYTES and self.transport is not None:
             self.transport.abort()
 
     def answer(self, at: float, line: bytes) -> None:
-        self.last = at = max(at, self.last)  # never before the answer to an earlier call
+        self.last_answer_at = at = max(at, self.last_answer_at)  # answers stay in order
         self.counter.loop.call_at(at, self._write, line)
 
     def _write(self, line: bytes) -> None:
@@ -53,50 +53,53 @@
 
 
 class CounterStandIn:
-    """`mode`: "" or lost, silent, busy, part; `extra` is what each call takes longer, in seconds.
+    """The counter of a run.
 
-    `copies` are the totals by name, with when the name's life ends: one, and a second while it is split.
+    Attributes:
+        mode: lost, silent, busy or part; empty for no fault.
+        extra: Seconds by which each answer is delayed.
+        copies: Each total by name, with the time when it expires. There is a second copy during a split.
+        seen: Calls at each copy during a split, calls to an unavailable part, and replacements.
     """
 
     def __init__(self, rate: float, parts: int, clock: Callable[[], float]) -> None:
         self.loop, self.clock = asyncio.get_running_loop(), clock
-        self.each = parts / rate  # s of a part for one call
-        self.free = [0.0] * parts  # when each part has done what it has
+        self.call_s = parts / rate  # one call takes this long at its part
+        self.free_at = [0.0] * parts  # when each part has handled its calls
         self.copies: list[dict[bytes, tuple[float, float]]] = [{}]
-        self.kept: deque[tuple[float, dict[bytes, tuple[float, float]]]] = deque(
-            maxlen=int(KEPT / KEEP)
+        self.snapshots: deque[tuple[float, dict[bytes, tuple[float, float]]]] = deque(
+            maxlen=int(SNAPSHOT_AGE_S / SNAPSHOT_INTERVAL_S)
         )
-        self.keeper: asyncio.TimerHandle | None = None
-        # What came about: calls at each copy while it was split, calls to a lost part, replacements.
+        self.snapshot_timer: asyncio.TimerHandle | None = None
         self.seen: dict[str, Any] = {"split": [0, 0], "part": 0, "replaced": 0}
         self.callers: set[Caller] = set()
         self.mode, self.extra, self.calls = "", 0.0, 0
         self.servers: list[asyncio.Server] = []
 
     async def open(self, ingresses: int) -> list[tuple[str, int]]:
-        """Listens for each ingress at a port of its own: so it is known who calls."""
+        """Listens on one port for each ingress, which identifies the caller; returns their addresses."""
         self.servers = [
             await self.loop.create_server(partial(Caller, self, n), host(STAND_INS), 0)
             for n in range(ingresses)
         ]
-        self._keep()
+        self._take_snapshot()
         return [server.sockets[0].getsockname() for server in self.servers]
 
-    def _keep(self) -> None:
-        self.kept.append((self.loop.time(), dict(self.copies[0])))
-        self.keeper = self.loop.call_later(KEEP, self._keep)
+    def _take_snapshot(self) -> None:
+        self.snapshots.append((self.loop.time(), dict(self.copies[0])))
+        self.snapshot_timer = self.loop.call_later(SNAPSHOT_INTERVAL_S, self._take_snapshot)
 
-    def take(self, caller: Caller, line: bytes) -> None:
-        now, found = self.loop.time(), CALL.fullmatch(line)
+    def handle(self, caller: Caller, line: bytes) -> None:
+        now, match = self.loop.time(), CALL.fullmatch(line)
         if self.mode == "silent":
             return
         if line == b"ping":
             caller.answer(now, b"pong")
-        elif found is None:
+        elif match is None:
             caller.answer(now, b"error")
         else:
             self.calls += 1
-            part = zlib.crc32(found[1]) % len(self.free)
+            part = zlib.crc32(match[1]) % len(self.free_at)
             copy = 1 if len(self.copies) > 1 and caller.ingress else 0
             if len(self.copies) > 1:
                 self.seen["split"][copy] += 1
@@ -104,29 +107,31 @@
                 self.seen["part"] += 1
                 caller.answer(now, b"busy")
                 return
-            if self.mode == "busy" or self.free[part] > now + MOST_BACKLOG:
+            if self.mode == "busy" or self.free_at[part] > now + MAX_BACKLOG_S:
                 caller.answer(now, b"busy")
                 return
-            self.free[part] = max(now, self.free[part]) + self.each
+            self.free_at[part] = max(now, self.free_at[part]) + self.call_s
             totals = self.copies[copy]
-            total, ends = totals.get(found[1], (0.0, 0.0))
-            if ends <= now:
-                total, ends = 0.0, now + min(int(found[3]) / 1000, LONGEST_LIFE)
-            total += float(found[2])
-            totals[found[1]] = total, ends
-            caller.answer(self.free[part] + self.extra, b"ok %.7g" % total)
+            total, expires_at = totals.get(match[1], (0.0, 0.0))
+            if expires_at <= now:
+                total, expires_at = 0.0, now + min(int(match[3]) / 1000, MAX_LIFETIME_S)
+            total += float(match[2])
+            totals[match[1]] = total, expires_at
+            caller.answer(self.free_at[part] + self.extra, b"ok %.7g" % total)
 
     def split(self) -> None:
-        """From now on ingress 0 sees one copy, and the others another."""
+        """Splits the counter: ingress 0 uses one copy from now on, and all others use a second one."""
         self.copies = [self.copies[0], dict(self.copies[0])]
 
     def heal(self) -> None:
         del self.copies[1:]
 
     def replace(self, back: float | None = None) -> None:
-        """Goes on with nothing, or with its counts of so many seconds before."""
+        """Replaces the totals by none, or by those of `back` seconds ago."""
         at = self.loop.time() - (back or 0.0)
-        older = [totals for when, totals in self.kept if when <= at] if back is not None else []
+        older = (
+            [totals for when, totals in self.snapshots if when <= at] if back is not None else []
+        )
         self.copies[0] = dict(older[-1]) if older else {}
         self.seen["replaced"] += 1
 
@@ -139,6 +144,6 @@
     def close(self) -> None:
         for server in self.servers:
             server.close()
-        if self.keeper is not None:
-            self.keeper.cancel()
+        if self.snapshot_timer is not None:
+            self.snapshot_timer.cancel()
         self.lose()
