--- a/ingress/testbed/backend_server.py
+++ b/ingress/testbed/backend_server.py
@@ -12,7 +12,7 @@
 import hiredis
 
 from ingress.testbed.deployment import Deployment
-from ingress.testbed.loopback_addresses import STAND_INS, host
+from ingress.testbed.loopback_addresses import STUBS, host
 from ingress.testbed.record import Arrival, Record, Start
 
 if TYPE_CHECKING:
@@ -210,7 +210,7 @@
         """
         self.closed = self.draining = self.fell = False
         self.servers = [
-            await self.loop.create_server(partial(self.seat, self, n), host(STAND_INS), port)
+            await self.loop.create_server(partial(self.seat, self, n), host(STUBS), port)
             for n, port in enumerate(ports or [0] * ingresses)
         ]
         return [server.sockets[0].getsockname() for server in self.servers]
--- a/ingress/testbed/counter.py
+++ b/ingress/testbed/counter.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any, cast
 
-from ingress.testbed.loopback_addresses import STAND_INS, host
+from ingress.testbed.loopback_addresses import STUBS, host
 
 CALL = re.compile(rb"add (\S{1,64}) (-?\d{1,10}(?:\.\d{1,12})?) (\d{1,12})")
 MAX_LINE_BYTES = 256
@@ -79,7 +79,7 @@
     async def open(self, ingresses: int) -> list[tuple[str, int]]:
         """Listens on one port for each ingress, which identifies the caller; returns their addresses."""
         self.servers = [
-            await self.loop.create_server(partial(Caller, self, n), host(STAND_INS), 0)
+            await self.loop.create_server(partial(Caller, self, n), host(STUBS), 0)
             for n in range(ingresses)
         ]
         self._take_snapshot()
--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -1,8 +1,9 @@
-"""Paths of datagrams between ingresses: each goes through a hub of the lab, which loses, delays, repeats,
-holds back and cuts them, one way or both, from a seed.
+"""Network paths for datagrams between ingresses, with faults drawn from a seed.
 
-Every ingress is told to advertise its hub's address.  What another sends there is known by its source, and
-goes on from the sender's own hub, so that answers come back the same way.
+Each ingress has a hub, a socket of the testbed, and advertises the hub's address. A hub identifies
+the sender of a datagram by its source address, applies the faults of the path and forwards the
+datagram from the sender's own hub, so that replies return the same way. Paths can lose, delay,
+duplicate, reorder, hold back and cut datagrams, in one direction or both.
 """
 
 from __future__ import annotations
@@ -12,16 +13,24 @@
 from dataclasses import dataclass
 from typing import cast
 
-from ingress.testbed.loopback_addresses import STAND_INS, host
+from ingress.testbed.loopback_addresses import STUBS, host
 
 Address = tuple[str, int]
-MOST_HELD = 1000  # datagrams that a stalled path keeps: a socket's queue is bounded too
+MAX_HELD = 1000  # datagrams that a stalled path holds back; a socket's queue is bounded too
 
 
 @dataclass(slots=True)
 class Path:
-    """What happens to datagrams from one ingress to another.  `loss` and `again` are shares; `delay` is in
-    seconds, and `spread` its share that is drawn, which puts them in another order."""
+    """The faults of the path from one ingress to another.
+
+    Attributes:
+        loss: The share of datagrams that is lost.
+        again: The share of datagrams that is delivered twice.
+        delay: The mean delay in seconds.
+        spread: The share of the delay that is random, which reorders datagrams.
+        cut: Datagrams are dropped.
+        stalled: Datagrams are held back until the path is restored.
+    """
 
     loss: float = 0.0
     again: float = 0.0
@@ -32,8 +41,8 @@
 
 
 @dataclass(slots=True)
-class Passed:
-    """What came about on all paths."""
+class PathCounts:
+    """Counts of datagrams on all paths."""
 
     passed: int = 0
     lost: int = 0
@@ -41,11 +50,11 @@
     delayed: int = 0
     cut: int = 0
     held: int = 0
-    strange: int = 0  # from an address that is no ingress's
+    strange: int = 0  # from an address that belongs to no ingress
 
 
 class Hub(asyncio.DatagramProtocol):
-    """The socket that stands for one ingress."""
+    """The socket that represents one ingress."""
 
     def __init__(self, paths: Paths, number: int) -> None:
         self.paths, self.number = paths, number
@@ -55,14 +64,20 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.paths.came(data, addr, self.number)
+        self.paths.receive(data, addr, self.number)
 
     def error_received(self, exc: Exception) -> None:
-        """The ingress behind it is down: its datagrams are lost, as on a network."""
+        """Ignores the error: the ingress is down, and its datagrams are lost as on a network."""
 
 
 class Paths:
-    """All paths among `real`, the addresses at which the ingresses are bound."""
+    """All paths between ingresses.
+
+    Attributes:
+        real: The addresses to which the ingresses are bound.
+        addresses: The addresses of their hubs.
+        table: The paths, by the numbers of the sender and the recipient.
+    """
 
     def __init__(self, real: list[Address], seed: int) -> None:
         self.real, self.rng = real, random.Random(f"paths {seed}")
@@ -70,19 +85,19 @@
         self.hubs = [Hub(self, n) for n in range(len(real))]
         self.addresses: list[Address] = []
         self.table = {(a, b): Path() for a in range(len(real)) for b in range(len(real)) if a != b}
-        self.waiting: dict[tuple[int, int], list[bytes]] = {}
-        self.counts = Passed()
+        self.held_back: dict[tuple[int, int], list[bytes]] = {}
+        self.counts = PathCounts()
         self.loop = asyncio.get_running_loop()
 
     async def open(self) -> None:
         for hub in self.hubs:
             transport, _ = await self.loop.create_datagram_endpoint(
                 lambda hub=hub: hub,  # type: ignore[misc]
-                local_addr=(host(STAND_INS), 0),
+                local_addr=(host(STUBS), 0),
             )
             self.addresses.append(transport.get_extra_info("sockname")[:2])
 
-    def came(self, data: bytes, source: Address, to: int) -> None:
+    def receive(self, data: bytes, source: Address, to: int) -> None:
         sender = self.numbers.get(source[:2])
         if sender is None or sender == to:
             self.counts.strange += 1
@@ -92,23 +107,23 @@
             counts.cut += 1
         elif path.stalled:
             counts.held += 1
-            held = self.waiting.setdefault((sender, to), [])
-            if len(held) < MOST_HELD:
+            held = self.held_back.setdefault((sender, to), [])
+            if len(held) < MAX_HELD:
                 held.append(data)
         elif self.rng.random() < path.loss:
             counts.lost += 1
         else:
-            again = self.rng.random() < path.again
-            counts.repeated += again
-            for _ in range(1 + again):
-                wait = path.delay * (1.0 + path.spread * self.rng.uniform(-1.0, 1.0))
-                if wait > 0.0:
+            duplicated = self.rng.random() < path.again
+            counts.repeated += duplicated
+            for _ in range(1 + duplicated):
+                delay = path.delay * (1.0 + path.spread * self.rng.uniform(-1.0, 1.0))
+                if delay > 0.0:
                     counts.delayed += 1
-                    self.loop.call_later(wait, self._pass, data, sender, to)
+                    self.loop.call_later(delay, self._deliver, data, sender, to)
                 else:
-                    self._pass(data, sender, to)
+                    self._deliver(data, sender, to)
 
-    def _pass(self, data: bytes, sender: int, to: int) -> None:
+    def _deliver(self, data: bytes, sender: int, to: int) -> None:
         transport = self.hubs[sender].transport
         if transport is not None and not transport.is_closing():
             self.counts.passed += 1
@@ -117,12 +132,13 @@
     # Faults
 
     def every(self, **figures: float) -> None:
+        """Sets fields of all paths."""
         for path in self.table.values():
             for name, value in figures.items():
                 setattr(path, name, value)
 
     def part(self, one: set[int], other: set[int], both: bool = True) -> None:
-        """Nothing goes from `one` to `other`, nor back if `both`.  The two may overlap with a third."""
+        """Cuts the paths from `one` to `other`, and back if `both`; the two sets may overlap."""
         for a in one:
             for b in other - {a}:
                 self.table[a, b].cut = True
@@ -130,18 +146,18 @@
                     self.table[b, a].cut = True
 
     def stall(self, numbers: set[int]) -> None:
-        """What goes to or from these is held back, with all sockets open."""
+        """Holds back all datagrams to and from these ingresses; their sockets stay open."""
         for (a, b), path in self.table.items():
             path.stalled = path.stalled or a in numbers or b in numbers
 
     def mend(self) -> None:
-        """All is whole again; what was held back comes now, late."""
+        """Restores all cut and stalled paths, and delivers the datagrams that were held back."""
         for path in self.table.values():
             path.cut = path.stalled = False
-        waiting, self.waiting = self.waiting, {}
-        for (sender, to), held in waiting.items():
+        held_back, self.held_back = self.held_back, {}
+        for (sender, to), held in held_back.items():
             for data in held:
-                self._pass(data, sender, to)
+                self._deliver(data, sender, to)
 
     def close(self) -> None:
         for hub in self.hubs:
--- a/ingress/testbed/discovery_server.py
+++ b/ingress/testbed/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery's stand-in: the fleet's endpoint list, and an agent for each ingress."""
+"""A stub discovery service: the fleet's endpoint list, and an agent for each ingress."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from ingress.testbed.loopback_addresses import STAND_INS, host
+from ingress.testbed.loopback_addresses import STUBS, host
 
 Entry = dict[str, Any]
-"""One server of an endpoint list, as the wire has it."""
+"""One server of an endpoint list, in its JSON form."""
 NotificationHandler = Callable[[int, str, str], None]
-"""Takes the number of the ingress, the server's id and its state, as each is sent."""
+"""Receives the number of the ingress, the server's id and its state when an entry is sent."""
 
 MAX_WAIT_S = 60.0  # of a long poll
 MAX_REQUEST_HEAD_BYTES = 8192
-MIN_TIME_BETWEEN_CHANGES_S = 0.005  # of one server, as an agent learns of them
+MIN_TIME_BETWEEN_CHANGES_S = 0.005  # of one server at one agent
 PATH = "/api/targets"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 CONNECTION_ERRORS = (
@@ -29,7 +29,7 @@
     ValueError,
     asyncio.CancelledError,
 )
-"""The ingress went away, what it sent is no request, or the run is over."""
+"""The ingress disconnected or sent an invalid request, or the run is over."""
 
 
 class Agent:
@@ -41,12 +41,12 @@
         version: Counts changes.
         entries: The endpoint list, by the servers' ids.
         changed_in: The version in which a server's entry last changed, by its id.
-        initial_entries: The list as it was at first: what the fault "back" sends.
+        initial_entries: The first version of the list, which the fault "back" sends.
         fault: "silent", "back", or empty for none.
-        extra_delay_s: By which each change reaches the agent later.
-        changed: Set, and replaced, with each change.
+        extra_delay_s: By which each change is delayed further.
+        changed: Set and replaced with each change.
         servers: The listening sockets: an ingress may be told to use another one.
-        polled_ports: Ports of those that were polled.
+        polled_ports: Ports on which the list was polled.
     """
 
     def __init__(self, number: int, on_notified: NotificationHandler) -> None:
@@ -66,31 +66,31 @@
     async def open(self) -> tuple[str, int]:
         """Listens on one more port; returns its address."""
         server = await asyncio.start_server(
-            self._serve, host(STAND_INS), 0, limit=MAX_REQUEST_HEAD_BYTES
+            self._serve, host(STUBS), 0, limit=MAX_REQUEST_HEAD_BYTES
         )
         self.servers.append(server)
         address: tuple[str, int] = server.sockets[0].getsockname()
         return address
 
     def update(self, entry: Entry) -> None:
-        """Takes an entry, which the ingress is notified of from now on."""
+        """Updates an entry and sends it to the ingress from now on."""
         self.version += 1
         self.entries[entry["id"]] = entry
         self.changed_in[entry["id"]] = self.version
         self._wake_polls()
 
     def full_list(self) -> Mapping[str, Any]:
-        """Returns the whole list, as an ingress that starts is given it."""
+        """Returns the complete list, as a starting ingress receives it."""
         present = [entry for entry in self.entries.values() if entry["state"] != "gone"]
         return {"version": self.version, "full": True, "servers": present}
 
     def set_fault(self, fault: str) -> None:
-        """Begins a fault, or ends it."""
+        """Starts a fault, or ends it if `fault` is empty."""
         self.fault = fault
         self._wake_polls()
 
     def close(self) -> None:
-        """Stops listening, and drops all connections."""
+        """Stops listening and drops all connections."""
         for server in self.servers:
             server.close()
         for task in self.tasks:
@@ -143,7 +143,7 @@
                 self.on_notified(self.number, name, "gone")
 
     async def _poll(self, query: Mapping[str, list[str]]) -> Mapping[str, Any]:
-        """Returns the body of the answer, once there is something newer or the wait is over."""
+        """Returns the body of the response once there is a newer version or the wait is over."""
         after = int(query.get("after", ["-1"])[0])
         wait_s = min(MAX_WAIT_S, int(query.get("wait_ms", ["0"])[0]) / 1000)
         if self.fault == "back":
@@ -152,7 +152,7 @@
             return self.full_list()
         await self._wait_for_newer(after, wait_s)
         if after > self.version:
-            return self.full_list()  # it was sent an older list as a newer one
+            return self.full_list()  # the fault "back" sent the old list with a higher version
         changed = [entry for name, entry in self.entries.items() if self.changed_in[name] > after]
         return {"version": self.version, "full": False, "servers": changed}
 
@@ -175,27 +175,33 @@
 
 
 class EndpointPublisher:
-    """Passes changes of the fleet on to the agents, to each after a delay of its own."""
+    """Publishes changes of the fleet to the agents, each after its own delay."""
 
     def __init__(self, agents: list[Agent], notice_s: float, rng: random.Random) -> None:
-        """`notice_s`: within which each agent learns of a change."""
+        """Creates a publisher.
+
+        Args:
+            agents: One for each ingress.
+            notice_s: Seconds within which each agent receives a change.
+            rng: Draws the delays.
+        """
         self.agents = agents
         self.notice_s = notice_s
         self.rng = rng
         self.loop = asyncio.get_running_loop()
-        # When each agent learns of the latest change of a server, by the agent's number and the id.
-        self.learns_at: dict[tuple[int, str], float] = {}
+        # When each agent receives the latest change of a server, by the agent's number and the id.
+        self.receives_at: dict[tuple[int, str], float] = {}
 
     def publish_initial(self, entries: list[Entry]) -> None:
-        """Gives all agents a server's first entry at once, each its own, in their order."""
+        """Gives all agents a server's first entry at once: one entry for each, in their order."""
         for agent, entry in zip(self.agents, entries, strict=True):
             agent.update(entry)
             agent.initial_entries.append(entry)
 
     def publish(self, entries: list[Entry]) -> None:
-        """Passes a change of one server on: an entry for each agent, in their order.
+        """Publishes a change of one server: one entry for each agent, in their order.
 
-        An agent learns of a server's changes in the order in which they happened.
+        An agent receives a server's changes in the order in which they happened.
         """
         for agent, entry in zip(self.agents, entries, strict=True):
             delay_s = self.rng.uniform(0.2, 1.0) * self.notice_s + agent.extra_delay_s
@@ -203,7 +209,7 @@
 
     def _update_later(self, agent: Agent, entry: Entry, delay_s: float) -> None:
         key = agent.number, entry["id"]
-        # Timers for one moment may fire in any order.
-        earliest = self.learns_at.get(key, 0.0) + MIN_TIME_BETWEEN_CHANGES_S
-        self.learns_at[key] = max(self.loop.time() + delay_s, earliest)
-        self.loop.call_at(self.learns_at[key], agent.update, entry)
+        # Timers that are due at the same time may fire in any order.
+        earliest = self.receives_at.get(key, 0.0) + MIN_TIME_BETWEEN_CHANGES_S
+        self.receives_at[key] = max(self.loop.time() + delay_s, earliest)
+        self.loop.call_at(self.receives_at[key], agent.update, entry)
