--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -116,10 +116,10 @@
             duplicated = self.rng.random() < path.again
             counts.repeated += duplicated
             for _ in range(1 + duplicated):
-                delay = path.delay * (1.0 + path.spread * self.rng.uniform(-1.0, 1.0))
-                if delay > 0.0:
+                delay_s = path.delay * (1.0 + path.spread * self.rng.uniform(-1.0, 1.0))
+                if delay_s > 0.0:
                     counts.delayed += 1
-                    self.loop.call_later(delay, self._deliver, data, sender, to)
+                    self.loop.call_later(delay_s, self._deliver, data, sender, to)
                 else:
                     self._deliver(data, sender, to)
 
--- a/ingress/testbed/invariant_checker.py
+++ b/ingress/testbed/invariant_checker.py
@@ -77,7 +77,7 @@
     by_id: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in sorted(record.arrivals, key=lambda a: a.at):
         by_id[arrival.id].append(arrival)
-    breaches = [
+    all_breaches = [
         *_answers(record, by_id, deployment),
         *_effects(record, by_id, deployment),
         *_submissions(record, by_id),
@@ -87,9 +87,9 @@
         *_ceilings(by_id, deployment),
     ]
     verdict = Verdict(over_quota=_quotas(by_id, deployment))
-    for breach in sorted(breaches, key=lambda b: b.at):
-        lag = record.lag(breach.at)
-        (verdict.doubtful if breach.by <= lag else verdict.breaches).append(breach)
+    for breach in sorted(all_breaches, key=lambda b: b.at):
+        lag_s = record.lag(breach.at)
+        (verdict.doubtful if breach.by <= lag_s else verdict.breaches).append(breach)
     if record.lags:
         verdict.busy_share = sum(lag > MAX_LAG_S for _, lag in record.lags) / len(record.lags)
     return verdict
@@ -419,7 +419,7 @@
                     x.customer,
                     f"{start.server}, {x.at - start.at:.1f} s after its start, was sent "
                     f"{window_work:.2f} s of work in {deployment.fall_time:g} s by ingresses "
-                    f"{', '.join(map(str, senders))}; its limit is {budget:.2f} s",
+                    f"{', '.join(map(str, senders))}; its limit is {budget:.2f}",
                 )
                 break
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,4 +1,7 @@
-"""An ingress with one deliberate fault: `python -m tests.faulty FAULT`.  The referee must name each."""
+"""An ingress with one seeded fault: `python -m tests.faulty FAULT`.
+
+The invariant checker must report each of them.
+"""
 
 from __future__ import annotations
 
@@ -30,31 +33,33 @@
 from ingress.resp.backend_protocol import RespBackendProtocol
 from ingress.transport.client_listener import ClientListener
 
-EVERY = 15  # requests: how often the fault shows
+FAULT_INTERVAL = 15  # requests or answers from one occurrence of the fault to the next
 counts = {"answers": 0}
-real_answer, real_send, real_listed = (
+real_answer, real_start_attempt, real_backends_changed = (
     Exchange._answer,
     Exchange._start_attempt,
     Exchange.backends_changed,
 )
-real_ended, real_init = Exchange.attempt_ended, Application.__init__
+real_attempt_ended, real_init = Exchange.attempt_ended, Application.__init__
 real_reload = service._reload
 
 
-def strikes() -> bool:
+def is_fault_due() -> bool:
+    """Counts an event and returns whether the fault occurs at it."""
     counts["answers"] += 1
-    return counts["answers"] % EVERY == 0
+    return counts["answers"] % FAULT_INTERVAL == 0
 
 
-def extra(exchange: Exchange, call: Call, avoid: str = "") -> None:
-    """An attempt that nothing asked for."""
+def send_extra_attempt(exchange: Exchange, call: Call, avoid: str = "") -> None:
+    """Sends an attempt that the policy did not start."""
     now, targets = exchange.clock(), exchange.upstream.endpoints  # type: ignore[attr-defined]
     name = next(name for name in targets if name != avoid)
     exchange.upstream.start(Attempt("none", 0, name, now, now + 2.0, call))
 
 
 def lose(self: Exchange, request: OpenRequest, answer: Response) -> None:
-    if strikes():
+    """Closes some connections instead of answering."""
+    if is_fault_due():
         self._close(request)
         request.downstream.connection.transport.close()  # type: ignore[attr-defined]
     else:
@@ -62,7 +67,8 @@
 
 
 def late(self: Exchange, request: OpenRequest, answer: Response) -> None:
-    if strikes():
+    """Sends some answers 0.8 s after the deadline."""
+    if is_fault_due():
         self._close(request)
         self.timers.call_later(
             request.deadline - self.clock() + 0.8, request.downstream.answer, answer
@@ -72,26 +78,32 @@
 
 
 def twice(self: Exchange, request: OpenRequest, answer: Response) -> None:
+    """Sends a second answer after some answers."""
     real_answer(self, request, answer)
-    if strikes():
+    if is_fault_due():
         request.downstream.connection.transport.write(b"-BUSY\r\n")  # type: ignore[attr-defined]
 
 
 def invent(self: Exchange, request: OpenRequest, answer: Response) -> None:
-    real_answer(self, request, Response(ResponseKind.SERVED, b"invented") if strikes() else answer)
+    """Serves some requests a value that no server made."""
+    real_answer(
+        self, request, Response(ResponseKind.SERVED, b"invented") if is_fault_due() else answer
+    )
 
 
 def goes_on(self: Exchange, request: OpenRequest, answer: Response) -> None:
+    """Sends an attempt 0.9 s after some final answers."""
     real_answer(self, request, answer)
-    if strikes():
-        self.timers.call_later(0.9, extra, self, request.call)
+    if is_fault_due():
+        self.timers.call_later(0.9, send_extra_attempt, self, request.call)
 
 
 def two_out(self: Exchange, action: StartAttempt) -> None:
-    real_send(self, action)
+    """Starts a second attempt while one is in flight."""
+    real_start_attempt(self, action)
     request = self.open_requests.get(action.request_id)
-    if request is not None and not request.answered and strikes():
-        extra(self, request.call, action.backend)
+    if request is not None and not request.answered and is_fault_due():
+        send_extra_attempt(self, request.call, action.backend)
 
 
 def late_repeat(
@@ -101,11 +113,12 @@
     value: bytes | None,
     load: dict[str, float],
 ) -> None:
+    """Repeats a write 1.2 s after its attempt ended, and answers the client after that."""
     if value is not None and attempt.call.is_write and attempt.request_key in self.open_requests:
-        self.timers.call_later(1.2, extra, self, attempt.call)
-        self.timers.call_later(1.3, real_ended, self, attempt, outcome, value, load)
+        self.timers.call_later(1.2, send_extra_attempt, self, attempt.call)
+        self.timers.call_later(1.3, real_attempt_ended, self, attempt, outcome, value, load)
     else:
-        real_ended(self, attempt, outcome, value, load)
+        real_attempt_ended(self, attempt, outcome, value, load)
 
 
 def deaf(
@@ -115,9 +128,9 @@
     addresses: dict[str, tuple[str, int]],
     version: int,
 ) -> None:
-    """Never learns that a server drains."""
+    """Ignores that servers drain."""
     ready = tuple(replace(b, readiness=Readiness.READY) for b in backends)
-    real_listed(self, kind, ready, addresses, version)
+    real_backends_changed(self, kind, ready, addresses, version)
 
 
 def slow_ear(
@@ -127,67 +140,75 @@
     addresses: dict[str, tuple[str, int]],
     version: int,
 ) -> None:
-    """Learns of changes 2.5 s late: with a grace of 1 s, for longer than a busy machine stands still."""
-    wait = 0.0 if kind is not EndpointListKind.UPDATE else 2.5
-    self.timers.call_later(wait, real_listed, self, kind, backends, addresses, version)
+    """Applies list updates 2.5 s late.
+
+    Beyond the grace of 1 s, this is longer than a busy machine stalls.
+    """
+    delay_s = 0.0 if kind is not EndpointListKind.UPDATE else 2.5
+    self.timers.call_later(delay_s, real_backends_changed, self, kind, backends, addresses, version)
 
 
 def fair_share(self: Exchange, action: StartAttempt) -> None:
-    """Deals the requests out among all servers alike, cold ones too."""
+    """Distributes requests evenly among all servers, including cold ones."""
     targets = [n for n, t in self.upstream.endpoints.items() if not t.removed]  # type: ignore[attr-defined]
     counts["answers"] += 1
-    real_send(self, replace(action, backend=targets[counts["answers"] % len(targets)]))
+    real_start_attempt(self, replace(action, backend=targets[counts["answers"] % len(targets)]))
 
 
 def crowd(self: Exchange, action: StartAttempt) -> None:
-    """Sends half of everything to the server that started last."""
+    """Sends half of all requests to the server that started last."""
     latest = counts.get("latest")
-    real_send(self, replace(action, backend=str(latest)) if latest and strikes() else action)
+    real_start_attempt(
+        self, replace(action, backend=str(latest)) if latest and is_fault_due() else action
+    )
 
 
-def notes_starts(
+def record_latest_start(
     self: Exchange,
     kind: EndpointListKind,
     backends: tuple[Backend, ...],
     addresses: dict[str, tuple[str, int]],
     version: int,
 ) -> None:
+    """Records the server that started last, for the fault crowd."""
     for b in backends:
         if b.started_at and b.readiness is Readiness.READY:
             counts["latest"] = b.id  # type: ignore[assignment]
-    real_listed(self, kind, backends, addresses, version)
+    real_backends_changed(self, kind, backends, addresses, version)
 
 
 def no_groups(self: Grouping, backend: Backend, dialect: str) -> int:
-    """Tells the module that all servers share one memory of keys."""
+    """Puts all servers into one group that shares a memory of keys."""
     return 1
 
 
 def forgets(self: Placement, call: Call, now: float) -> PlacementConstraint:
-    """Knows nothing of a client's own repeats."""
+    """Forgets earlier attempts, so that a client's own repeats are not constrained."""
     return PlacementConstraint()
 
 
 def own_keys(key: str, customer: str, request_class: str) -> UUID:
-    """Makes keys that another ingress does not make."""
+    """Derives keys that differ from those of other ingresses."""
     return uuid_of(key, customer, request_class + os.environ["EDGE_NAME"])
 
 
 def new_keys(key: str, customer: str, request_class: str) -> UUID:
-    """Makes another key for each attempt."""
+    """Creates a new key for each attempt."""
     return uuid4()
 
 
 def one_key(key: str, customer: str, request_class: str) -> UUID:
-    """Makes one key for all submissions of a customer."""
+    """Derives one key for all submissions of a customer and class."""
     return uuid_of("0" * 16, customer, request_class)
 
 
 def any_value(body: bytes, name: bytes) -> bytes:
+    """Returns the value of a response body, empty if it has none."""
     return base64.b64decode(json.loads(body).get("value", ""))
 
 
 def no_ceiling(self: Application, config: Any, clock: Any = None, operator: Any = None) -> None:
+    """Admits requests without ceilings and with practically unlimited quotas."""
     plans = tuple(
         replace(p, ceiling_rate=0.0, ceiling_burst=0.0, rate=1000.0, burst=1000.0)
         for p in config.settings.plans
@@ -196,7 +217,7 @@
 
 
 def alone(self: Application, config: Any, clock: Any = None, operator: Any = None) -> None:
-    """Takes itself for the only ingress: the whole ceiling is its own."""
+    """Acts as the only ingress, which may use the entire ceiling."""
     plans = tuple(replace(p, rate=1000.0, burst=1000.0) for p in config.settings.plans)
     settings = replace(config.settings, plans=plans, counter_available=False)
     real_init(self, replace(config, settings=settings, counter=None), clock)
@@ -209,27 +230,30 @@
     self.exchange.request = request  # type: ignore[method-assign]
 
 
-def reports_falsely(lie: str) -> None:
-    """Tells the others false figures of itself, authenticated with the right key."""
+def report_false_figures(figures_text: str) -> None:
+    """Reports false figures of itself to the others, authenticated with a valid key."""
     from ingress.fleet_shedding.load_reports import LoadReports
 
     real_record_own = LoadReports.record_own
 
     def record_own(self: LoadReports, now: float, *figures: float) -> None:
-        real_record_own(self, now, *(float(x) for x in lie.split(",")))
+        real_record_own(self, now, *(float(x) for x in figures_text.split(",")))
 
     LoadReports.record_own = record_own  # type: ignore[method-assign, assignment]
 
 
 def unbounded_weights() -> None:
-    """Weighs each report by what it says of itself."""
+    """Weights each load report by the unbounded weight that it claims."""
     from ingress.fleet_shedding import shed_fraction
 
     shed_fraction.bounded_weights = list  # type: ignore[assignment]
 
 
 def older() -> None:
-    """A release before health observations and zones: sends none, and counts them as invalid reports."""
+    """Acts as a release without health observations and zones.
+
+    It sends none, and counts received ones as invalid reports.
+    """
     from ingress.fleet_shedding import gossip_bridge
     from ingress.fleet_shedding.health_gossip import HealthGossip
     from ingress.fleet_shedding.load_reports import LoadReports
@@ -240,28 +264,28 @@
         real_init(self, origin, incarnation)
 
     names = vars(gossip_bridge)
-    assert "decode_observation" in names  # else the fault would strike nothing
+    assert "decode_observation" in names  # otherwise the fault would have no effect
     names["decode_observation"] = lambda payload: None
     HealthGossip.encode_newest = lambda self, now: []  # type: ignore[method-assign]
     LoadReports.__init__ = init  # type: ignore[method-assign]
 
 
 def all_probe() -> None:
-    """Takes itself for a prober of each backend."""
+    """Acts as one of the probers of every backend."""
     from ingress.fleet_shedding import health_gossip
 
     health_gossip.PROBERS_PER_ZONE = 1000  # type: ignore[misc]
 
 
 def believes_stale() -> None:
-    """Goes by what it held before it stalled."""
+    """Trusts its membership state from before a stall."""
     from ingress.membership.swim import SwimProtocol
 
     SwimProtocol.recovered_from_stall = lambda self, now: True  # type: ignore[method-assign]
 
 
 def ahead(seconds: str) -> None:
-    """Its clock shows another time than the others'."""
+    """Shifts its clock by `seconds` against the others'."""
     from ingress import application
 
     real_clock = vars(application)["unix_clock"]
@@ -274,14 +298,14 @@
 
 
 def undivided(self: Application, config: Any, clock: Any = None, operator: Any = None) -> None:
-    """Takes a whole fleet's budget for its own."""
+    """Uses the entire fleet's budget for itself."""
     real_init(
         self, replace(config, settings=replace(config.settings, gateway_count=1)), clock, operator
     )
 
 
 def close_unread(self: ClientListener) -> None:
-    """Stops reading in a shutdown, and closes connections on what has arrived since."""
+    """Stops reading in a shutdown, and aborts connections although more data may have arrived."""
     self.draining = True
     for connection in list(self.connections):
         if connection.transport is not None and not connection.pending:
@@ -291,7 +315,7 @@
 
 
 def drops_second_reload(application: Application) -> None:
-    """Takes every other SIGHUP for a repetition of the one before."""
+    """Ignores every other SIGHUP as a repetition of the previous one."""
     counts["reloads"] = counts.get("reloads", 0) + 1
     if counts["reloads"] % 2:
         real_reload(application)
@@ -311,7 +335,10 @@
     "deaf": [(Exchange, "backends_changed", deaf)],
     "slow_ear": [(Exchange, "backends_changed", slow_ear)],
     "fair_share": [(Exchange, "_start_attempt", fair_share)],
-    "crowd": [(Exchange, "backends_changed", notes_starts), (Exchange, "_start_attempt", crowd)],
+    "crowd": [
+        (Exchange, "backends_changed", record_latest_start),
+        (Exchange, "_start_attempt", crowd),
+    ],
     "no_groups": [(Grouping, "_cell", no_groups)],
     "forgets": [(Placement, "admit", forgets)],
     "own_keys": [(http_v2, "uuid_of", own_keys)],
@@ -329,25 +356,29 @@
     "alone": [(Application, "__init__", alone)],
 }
 
-TESTED = "7e57"  # begins the keys of submissions that a test looks at
+TESTED_KEY_PREFIX = "7e57"  # of the submissions that a test examines
 
 
 def replace_attribute(owner: Any, name: str, replacement: Any) -> None:
-    """Puts a fault in place of an attribute; a name that is not there would seed nothing."""
+    """Replaces an attribute by a fault.
+
+    Raises:
+        AttributeError: the owner has no such attribute, so the fault would have no effect.
+    """
     if not hasattr(owner, name):
-        raise AttributeError(f"{owner.__name__} has no {name}: the fault would not strike")
+        raise AttributeError(f"{owner.__name__} has no {name}: the fault would have no effect")
     setattr(owner, name, replacement)
 
 
-def at_step(step: str, act: Callable[[], None]) -> None:
-    """Calls `act` at one step of a tested submission that a client sent."""
+def at_step(step: str, action: Callable[[], None]) -> None:
+    """Calls `action` at one step of a tested submission that a client sent."""
     from ingress.components.handover_upstream import HandoverUpstream
     from ingress.handover.decision import Verdict
 
-    def tested(attempt: Any) -> bool:
+    def is_tested(attempt: Any) -> bool:
         return (
             attempt is not None
-            and attempt.call.idempotency_key.startswith(TESTED)
+            and attempt.call.idempotency_key.startswith(TESTED_KEY_PREFIX)
             and (not attempt.call.client_request_id.startswith(b"takeover"))
         )
 
@@ -355,58 +386,58 @@
         for connection in self.connections.outbound.values():
             connection.flush()
 
-    def send(self: Any, call: Call, left: float) -> bytes:
-        """The last look was before this, and the write comes right after."""
+    def encode_request(self: Any, call: Call, time_left_s: float) -> bytes:
+        """Runs between the last check of the attempt and its write."""
         if (
             step == "writing"
-            and call.idempotency_key.startswith(TESTED)
+            and call.idempotency_key.startswith(TESTED_KEY_PREFIX)
             and not call.client_request_id.startswith(b"takeover")
         ):
-            act()
-        return real_send_words(self, call, left)
+            action()
+        return real_encode_request(self, call, time_left_s)
 
-    real_send_words = RespBackendProtocol.encode_request
-    replace_attribute(RespBackendProtocol, "encode_request", send)
+    real_encode_request = RespBackendProtocol.encode_request
+    replace_attribute(RespBackendProtocol, "encode_request", encode_request)
     real_start = HandoverUpstream.start
     real_flush = HandoverUpstream._flush
-    real_decision = HandoverUpstream._on_decision
-    real_written = HandoverUpstream._on_written
+    real_on_decision = HandoverUpstream._on_decision
+    real_on_written = HandoverUpstream._on_written
     real_ended = HandoverUpstream.ended
 
     def start(self: Any, attempt: Any) -> None:
         real_start(self, attempt)
-        if step == "opened" and tested(attempt):
-            act()
+        if step == "opened" and is_tested(attempt):
+            action()
 
     def flush(self: Any) -> None:
         real_flush(self)
-        if step == "asked" and any(map(tested, self.undecided.values())):
+        if step == "asked" and any(map(is_tested, self.undecided.values())):
             flush_connections(self)
-            act()
+            action()
 
     def on_decision(self: Any, decision: Any) -> None:
         attempt = self.undecided.get(decision.operation)
-        if step == "granted" and tested(attempt) and decision.verdict is Verdict.PROCEED:
-            act()
-        if step == "repeating" and tested(attempt) and decision.send_before < 1e300:
-            act()
-        real_decision(self, decision)
+        if step == "granted" and is_tested(attempt) and decision.verdict is Verdict.PROCEED:
+            action()
+        if step == "repeating" and is_tested(attempt) and decision.send_before < 1e300:
+            action()
+        real_on_decision(self, decision)
 
-    def written(self: Any, attempt: Any) -> None:
-        if step == "written" and tested(attempt):
-            act()
-        real_written(self, attempt)
+    def on_written(self: Any, attempt: Any) -> None:
+        if step == "written" and is_tested(attempt):
+            action()
+        real_on_written(self, attempt)
 
     def ended(self: Any, attempt: Any, outcome: Any, value: Any, load: Any) -> None:
-        if step == "answered" and value is not None and tested(attempt):
-            act()
-        if step == "told" and value is not None and tested(attempt):
+        if step == "answered" and value is not None and is_tested(attempt):
+            action()
+        if step == "told" and value is not None and is_tested(attempt):
             on_ended = self.on_ended
             self.on_ended = lambda *rest: None
             real_ended(self, attempt, outcome, value, load)
             real_flush(self)
             flush_connections(self)
-            act()
+            action()
             self.on_ended = on_ended
             on_ended(attempt, outcome, value, load)
         else:
@@ -416,23 +447,30 @@
         ("start", start),
         ("_flush", flush),
         ("_on_decision", on_decision),
-        ("_on_written", written),
+        ("_on_written", on_written),
         ("ended", ended),
     ):
         replace_attribute(HandoverUpstream, name, method)
 
 
 def die() -> None:
+    """Kills this process."""
     os.kill(os.getpid(), signal.SIGKILL)
 
 
 def stop() -> None:
+    """Stops this process with SIGSTOP."""
     os.kill(os.getpid(), signal.SIGSTOP)
 
 
 def corrupting_disk(how: str) -> None:
-    """The store's disk: `yes` syncs without syncing, and loses all since at a kill; `eio` and `enospc` fail
-    from the third sync or write on; `slow` takes 10 s for one."""
+    """Adds a fault to the disk of the store.
+
+    Args:
+        how: `yes` drops all writes after the third and confirms their syncs, so that a kill loses
+            them; `eio` and `enospc` fail each sync or write after the third; `slow` takes 10 s for
+            the fourth sync.
+    """
     from ingress.storage import file_system
 
     real_write, real_sync = file_system.OsFile.write, file_system.OsFile.sync
@@ -458,7 +496,7 @@
 
 
 def no_fence() -> None:
-    """Grants what a suspect holder may yet write."""
+    """Grants a request whose suspect holder may still write it."""
     from ingress.handover.transition_table import (
         TRANSITIONS,
         HolderStatus,
@@ -471,25 +509,26 @@
 
 
 def acknowledges_first() -> None:
-    """Sends replies before the store has their records, and takes any store for complete."""
+    """Sends replies before the store has their records, and treats any store as complete."""
     from ingress.components.record_persistence import RecordPersistence
     from ingress.handover.coordinator import Coordinator
 
-    real_node = Coordinator.__init__
+    real_init = Coordinator.__init__
 
-    def init(self: Any, *args: Any, **more: Any) -> None:
-        real_node(self, *args, **more)
+    def init(self: Any, *args: Any, **options: Any) -> None:
+        real_init(self, *args, **options)
         if self.recovered_position:
             self.replica.recovering_until = 0.0
 
-    def release_at_once(self: Any) -> None:
+    def release_immediately(self: Any) -> None:
         self._release([self.pending.pop() for _ in range(len(self.pending))])
 
     replace_attribute(Coordinator, "__init__", init)
-    replace_attribute(RecordPersistence, "write_changes", release_at_once)
+    replace_attribute(RecordPersistence, "write_changes", release_immediately)
 
 
 def forgets_the_window() -> None:
+    """Decides with a deduplication window of 1e6 s."""
     from ingress.handover import coordinator
     from ingress.handover.decision import decide as real_decide
 
@@ -503,7 +542,7 @@
 
 
 def anyones_answer() -> None:
-    """Gives a stored response to whoever asks."""
+    """Gives any stored response to any request."""
     from ingress.components import handover_upstream
 
     replace_attribute(
@@ -512,7 +551,7 @@
     replace_attribute(handover_upstream, "body_digest", lambda body: b"")
 
 
-ACTS = {
+PATCHES = {
     "no_fence": no_fence,
     "acknowledges_first": acknowledges_first,
     "anyones_answer": anyones_answer,
@@ -526,13 +565,13 @@
 
 if __name__ == "__main__":
     if sys.argv[1] == "crowd":
-        EVERY = 2
+        FAULT_INTERVAL = 2
     fault, sys.argv = sys.argv[1], [sys.argv[0], *sys.argv[2:]]
     fault, _, figures = fault.partition(":")
     if fault in ("liar", "believed"):
-        reports_falsely(figures)
-    elif fault in ACTS:
-        ACTS[fault]()
+        report_false_figures(figures)
+    elif fault in PATCHES:
+        PATCHES[fault]()
     elif fault in ("dies", "stops"):
         at_step(figures, die if fault == "dies" else stop)
     elif fault == "disk":
@@ -541,4 +580,4 @@
         ahead(figures)
     for owner, name, replacement in FAULTS.get(fault, []):
         replace_attribute(owner, name, replacement)
-    sys.exit(service.main(sys.argv[1:], Form(False, "a fault is put in place of a method")))
+    sys.exit(service.main(sys.argv[1:], Form(False, "a fault replaces a method")))
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -220,13 +220,13 @@
     start = Start("s1", 10.0, 2.0, 0.2, 10.0)
     mean = DEPLOYMENT.mean_work
 
-    def shares(work: float, ingresses: int) -> tuple[Arrival, ...]:
+    def shares(work_each: float, ingresses: int) -> tuple[Arrival, ...]:
         return tuple(
             replace(
                 make_arrival(10.1 + n / 100, 10.2 + n / 100),
                 id=f"r{n}",
                 ingress=n % ingresses,
-                work=work,
+                work=work_each,
             )
             for n in range(60)
         )
