--- a/ingress/testbed/invariant_checker.py
+++ b/ingress/testbed/invariant_checker.py
@@ -91,7 +91,7 @@
         lag_s = record.lag(breach.at)
         (verdict.doubtful if breach.by <= lag_s else verdict.breaches).append(breach)
     if record.lags:
-        verdict.busy_share = sum(lag > MAX_LAG_S for _, lag in record.lags) / len(record.lags)
+        verdict.busy_share = sum(lag_s > MAX_LAG_S for _, lag_s in record.lags) / len(record.lags)
     return verdict
 
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -386,7 +386,7 @@
         for connection in self.connections.outbound.values():
             connection.flush()
 
-    def encode_request(self: Any, call: Call, time_left_s: float) -> bytes:
+    def encode_at_step(self: Any, call: Call, time_left_s: float) -> bytes:
         """Runs between the last check of the attempt and its write."""
         if (
             step == "writing"
@@ -397,7 +397,7 @@
         return real_encode_request(self, call, time_left_s)
 
     real_encode_request = RespBackendProtocol.encode_request
-    replace_attribute(RespBackendProtocol, "encode_request", encode_request)
+    replace_attribute(RespBackendProtocol, "encode_request", encode_at_step)
     real_start = HandoverUpstream.start
     real_flush = HandoverUpstream._flush
     real_on_decision = HandoverUpstream._on_decision
