--- a/ingress/testbed/backend_server.py
+++ b/ingress/testbed/backend_server.py
@@ -47,7 +47,7 @@
         return True
 
 
-class Seat(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A connection from an ingress.  A request starts once its last byte is received."""
 
     def __init__(self, server: GridServer, ingress: int) -> None:
@@ -184,13 +184,13 @@
         self.name, self.zone, self.cell, self.speed = name, zone, cell, speed
         self.deployment, self.keys, self.record, self.clock = deployment, keys, record, clock
         self.pairs, self.seed, self.loop = pairs, seed, asyncio.get_running_loop()
-        self.seat: Callable[[GridServer, int], Seat] = (
-            Seat  # creates a protocol for each connection
+        self.seat: Callable[[GridServer, int], ServerConnection] = (
+            ServerConnection  # creates a protocol for each connection
         )
-        self.seats: set[Seat] = set()
+        self.seats: set[ServerConnection] = set()
         self.servers: list[asyncio.Server] = []
         self.running: dict[str, asyncio.TimerHandle] = {}  # by request id
-        self.queue: deque[tuple[Seat, Arrival]] = deque()
+        self.queue: deque[tuple[ServerConnection, Arrival]] = deque()
         self.busy, self.served_count, self.slower = 0, 0, 1.0
         self.start: Start | None = None  # of this process, if it started cold
         self.recent_work: deque[tuple[float, float]] = deque()  # time and work of each arrival
@@ -253,7 +253,7 @@
         return full * (self.start.cold_share + (1 - self.start.cold_share) * warm)
 
     def receive_command(
-        self, connection: Seat, words: list[bytes], first: float, now: float
+        self, connection: ServerConnection, words: list[bytes], first: float, now: float
     ) -> None:
         arrival = self._read(connection, words, first, now)
         if arrival is not None:
@@ -261,7 +261,7 @@
         elif connection.transport is not None:
             connection.transport.write(b"-SYNTAX\r\n")
 
-    def arrived(self, connection: Seat, arrival: Arrival) -> None:
+    def arrived(self, connection: ServerConnection, arrival: Arrival) -> None:
         """Handles a complete request of any protocol."""
         now = arrival.at
         arrival.dialect = self.dialect
@@ -286,7 +286,7 @@
             self.queue.append((connection, arrival))
 
     def _read(
-        self, connection: Seat, words: list[bytes], first: float, now: float
+        self, connection: ServerConnection, words: list[bytes], first: float, now: float
     ) -> Arrival | None:
         try:
             verb, customer, name, text, *body = (word.decode("latin-1") for word in words)
@@ -330,7 +330,7 @@
         if sum(work for _, work in self.recent_work) > budget + 4.0 * d.mean_work:
             self.fell = True
 
-    def _begin(self, connection: Seat, arrival: Arrival) -> None:
+    def _begin(self, connection: ServerConnection, arrival: Arrival) -> None:
         self.busy += 1
         now = self.clock()
         rate = self.capacity(now) / self.deployment.cores / self.slower
@@ -342,7 +342,7 @@
             arrival.work / rate, self._done, connection, arrival
         )
 
-    def _done(self, connection: Seat, arrival: Arrival) -> None:
+    def _done(self, connection: ServerConnection, arrival: Arrival) -> None:
         self.running.pop(arrival.id, None)
         self.busy -= 1
         if not self.fell and self.fault != "silent":
--- a/ingress/testbed/backend_server_http.py
+++ b/ingress/testbed/backend_server_http.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from ingress.testbed.backend_server import GridServer, Seat
+from ingress.testbed.backend_server import GridServer, ServerConnection
 from ingress.testbed.record import Arrival
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 }
 
 
-class HttpSeat(Seat):
+class HttpSeat(ServerConnection):
     """A connection from an ingress that carries HTTP/1.1."""
 
     def __init__(self, server: GridServer, ingress: int) -> None:
--- a/ingress/testbed/backend_server_resp3.py
+++ b/ingress/testbed/backend_server_resp3.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from ingress.testbed.backend_server import Seat
+from ingress.testbed.backend_server import ServerConnection
 from ingress.testbed.record import Arrival
 
 PUSH = b">2\r\n$4\r\nnews\r\n$4\r\ngrid\r\n"
 
 
-class Resp3Seat(Seat):
+class Resp3Seat(ServerConnection):
     """A connection from an ingress that carries RESP3.
 
     A push message precedes every third response with a value.
