--- a/ingress/testbed/backend_server_http.py
+++ b/ingress/testbed/backend_server_http.py
@@ -31,7 +31,7 @@
 }
 
 
-class HttpSeat(ServerConnection):
+class HttpServerConnection(ServerConnection):
     """A connection from an ingress that carries HTTP/1.1."""
 
     def __init__(self, server: GridServer, ingress: int) -> None:
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -149,10 +149,10 @@
         server.kind = {OLD: "small-2c", "resp3-v2": "grid-half", "http-v2": "grid-v2"}[dialect]
         if dialect == "http-v2":
             from ingress.testbed.backend_server_http import (
-                HttpSeat,
+                HttpServerConnection,
             )  # needs h11, which the old generation does not
 
-            server.seat = HttpSeat
+            server.seat = HttpServerConnection
         else:
             server.seat = ServerConnection if dialect == OLD else Resp3Seat
 
