--- a/ingress/testbed/backend_server_resp3.py
+++ b/ingress/testbed/backend_server_resp3.py
@@ -8,7 +8,7 @@
 PUSH = b">2\r\n$4\r\nnews\r\n$4\r\ngrid\r\n"
 
 
-class Resp3Seat(ServerConnection):
+class Resp3ServerConnection(ServerConnection):
     """A connection from an ingress that carries RESP3.
 
     A push message precedes every third response with a value.
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 from ingress.testbed.backend_server import GridServer, Keys, ServerConnection
-from ingress.testbed.backend_server_resp3 import Resp3Seat
+from ingress.testbed.backend_server_resp3 import Resp3ServerConnection
 from ingress.testbed.clients import AFTER_TERM, NOTICE, OLD, Customers
 from ingress.testbed.counter import CounterStandIn
 from ingress.testbed.deployment import zone
@@ -154,7 +154,7 @@
 
             server.seat = HttpServerConnection
         else:
-            server.seat = ServerConnection if dialect == OLD else Resp3Seat
+            server.seat = ServerConnection if dialect == OLD else Resp3ServerConnection
 
     async def _listen(
         self, server: GridServer, wanted: set[str] | None = None, ports: list[int] | None = None
