--- a/ingress/testbed/backend_server.py
+++ b/ingress/testbed/backend_server.py
@@ -62,9 +62,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.last_used = self.server.clock()
-        if len(self.server.seats) >= MAX_CONNECTIONS:
+        if len(self.server.connections) >= MAX_CONNECTIONS:
             self.transport.abort()
-        self.server.seats.add(self)
+        self.server.connections.add(self)
 
     def record_receipt(self) -> float:
         """Returns the time of a receipt, and sets when the command that it belongs to began."""
@@ -141,7 +141,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._end_requests()
-        self.server.seats.discard(self)
+        self.server.connections.discard(self)
 
     def _end_requests(self) -> None:
         ended = self.server.clock()
@@ -187,7 +187,7 @@
         self.seat: Callable[[GridServer, int], ServerConnection] = (
             ServerConnection  # creates a protocol for each connection
         )
-        self.seats: set[ServerConnection] = set()
+        self.connections: set[ServerConnection] = set()
         self.servers: list[asyncio.Server] = []
         self.running: dict[str, asyncio.TimerHandle] = {}  # by request id
         self.queue: deque[tuple[ServerConnection, Arrival]] = deque()
@@ -224,7 +224,7 @@
         """Ends the process: resets its connections, refuses new ones and loses its work."""
         self.closed = True
         self.stop_listening()
-        for connection in list(self.seats):
+        for connection in list(self.connections):
             connection.abort()
         for handle in self.running.values():
             handle.cancel()
@@ -373,7 +373,7 @@
     def _close_idle_connections(self) -> None:
         self.idle_timer = self.loop.call_later(1.0, self._close_idle_connections)
         now = self.clock()
-        for connection in list(self.seats):
+        for connection in list(self.connections):
             if (
                 not connection.unanswered
                 and now - connection.last_used > IDLE_TIMEOUT_S
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -325,7 +325,7 @@
         else:
             server.fault = ""
         if fault.kind == "silent":
-            for seat in list(server.seats):
+            for seat in list(server.connections):
                 seat.abort()  # what it took while silent is never answered
 
     async def _disturb_link(self, fault: Fault, link: Link) -> None:
