--- a/ingress/testbed/backend_server.py
+++ b/ingress/testbed/backend_server.py
@@ -184,7 +184,7 @@
         self.name, self.zone, self.cell, self.speed = name, zone, cell, speed
         self.deployment, self.keys, self.record, self.clock = deployment, keys, record, clock
         self.pairs, self.seed, self.loop = pairs, seed, asyncio.get_running_loop()
-        self.seat: Callable[[GridServer, int], ServerConnection] = (
+        self.make_connection: Callable[[GridServer, int], ServerConnection] = (
             ServerConnection  # creates a protocol for each connection
         )
         self.connections: set[ServerConnection] = set()
@@ -210,7 +210,7 @@
         """
         self.closed = self.draining = self.fell = False
         self.servers = [
-            await self.loop.create_server(partial(self.seat, self, n), host(STUBS), port)
+            await self.loop.create_server(partial(self.make_connection, self, n), host(STUBS), port)
             for n, port in enumerate(ports or [0] * ingresses)
         ]
         return [server.sockets[0].getsockname() for server in self.servers]
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -152,9 +152,9 @@
                 HttpServerConnection,
             )  # needs h11, which the old generation does not
 
-            server.seat = HttpServerConnection
+            server.make_connection = HttpServerConnection
         else:
-            server.seat = ServerConnection if dialect == OLD else Resp3ServerConnection
+            server.make_connection = ServerConnection if dialect == OLD else Resp3ServerConnection
 
     async def _listen(
         self, server: GridServer, wanted: set[str] | None = None, ports: list[int] | None = None
@@ -325,8 +325,8 @@
         else:
             server.fault = ""
         if fault.kind == "silent":
-            for seat in list(server.connections):
-                seat.abort()  # what it took while silent is never answered
+            for make_connection in list(server.connections):
+                make_connection.abort()  # what it took while silent is never answered
 
     async def _disturb_link(self, fault: Fault, link: Link) -> None:
         link.strike(fault.kind, fault.figures.get("ms", 0.0))
