--- a/ingress/testbed/backend_server.py
+++ b/ingress/testbed/backend_server.py
@@ -23,7 +23,7 @@
 MALFORMED_REPLY = b"*3\r\n$-1\r\n$-1\r\n$-1\r\n"
 
 
-class Keys:
+class KeyMemory:
     """The idempotency keys that a group of servers remembers.
 
     A repeat within its class's deduplication window has no effect.
@@ -175,7 +175,7 @@
         cell: int,
         speed: float,
         deployment: Deployment,
-        keys: Keys,
+        keys: KeyMemory,
         record: Record,
         clock: Callable[[], float],
         pairs: dict[int, Side],
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from ingress.testbed.backend_server import GridServer, Keys, ServerConnection
+from ingress.testbed.backend_server import GridServer, KeyMemory, ServerConnection
 from ingress.testbed.backend_server_resp3 import Resp3ServerConnection
 from ingress.testbed.clients import AFTER_TERM, NOTICE, OLD, Customers
 from ingress.testbed.counter import CounterStandIn
@@ -61,7 +61,10 @@
             if count == 1
             else Crowd(count, d, self.record, self.clock, zero, scenario.seed, scenario.clients)
         )
-        self.keys = {"v1": Keys("v1"), "v2": Keys("v2")}  # old and new servers share no memory
+        self.keys = {
+            "v1": KeyMemory("v1"),
+            "v2": KeyMemory("v2"),
+        }  # old and new servers share no memory
         self.servers = [
             GridServer(
                 f"server-{n}",
