--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -22,7 +22,7 @@
 from ingress.testbed.ingresses import Ingress, run_line
 from ingress.testbed.links import Link, Side
 from ingress.testbed.load_generator import Crowd, processes
-from ingress.testbed.record import Record, Told
+from ingress.testbed.record import Record, ServerNotice
 from ingress.testbed.scenario import Fault, Scenario
 from ingress.testbed.signal_series import SignalSeries, play_crowd
 
@@ -182,7 +182,7 @@
         assert ingress.life is not None
         for server in self.servers:
             self.record.told.append(
-                Told(n, server.name, listed.get(server.name, "gone"), ingress.life.up)
+                ServerNotice(n, server.name, listed.get(server.name, "gone"), ingress.life.up)
             )
         door = self.customers.doors[n]
         door.until = float("inf")
@@ -258,7 +258,7 @@
     # Discovery
 
     def _told(self, ingress: int, server: str, state: str) -> None:
-        self.record.told.append(Told(ingress, server, state, self.clock()))
+        self.record.told.append(ServerNotice(ingress, server, state, self.clock()))
 
     def publish(self, server: GridServer, state: str, started: float) -> None:
         """Passes on that a server's state has changed."""
