--- a/ingress/testbed/counter.py
+++ b/ingress/testbed/counter.py
@@ -22,7 +22,7 @@
 class Caller(asyncio.Protocol):
     """One connection: it answers calls in their order."""
 
-    def __init__(self, counter: CounterStandIn, ingress: int) -> None:
+    def __init__(self, counter: StubCounter, ingress: int) -> None:
         self.counter, self.ingress, self.rest, self.last_answer_at = counter, ingress, b"", 0.0
         self.transport: asyncio.Transport | None = None
 
@@ -52,7 +52,7 @@
             self.transport.write(line + b"\r\n")
 
 
-class CounterStandIn:
+class StubCounter:
     """The counter of a run.
 
     Attributes:
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -16,7 +16,7 @@
 from ingress.testbed.backend_server import GridServer, KeyMemory, ServerConnection
 from ingress.testbed.backend_server_resp3 import Resp3ServerConnection
 from ingress.testbed.clients import AFTER_TERM, NOTICE, OLD, Customers
-from ingress.testbed.counter import CounterStandIn
+from ingress.testbed.counter import StubCounter
 from ingress.testbed.deployment import zone
 from ingress.testbed.discovery_server import Agent, EndpointPublisher, Entry
 from ingress.testbed.ingresses import Ingress, run_line
@@ -54,7 +54,7 @@
         self.record, self.pairs = Record(), dict[int, Side]()
         self.rng = random.Random(f"world {scenario.seed}")
         self.agents = [Agent(n, self._told) for n in range(d.ingresses)]
-        self.counter = CounterStandIn(d.counter_rate, d.counter_parts, self.clock)
+        self.counter = StubCounter(d.counter_rate, d.counter_parts, self.clock)
         count = clients or processes(d.rate)
         self.customers: Customers | Crowd = (
             Customers(d, self.record, self.clock, scenario.seed, scenario.clients)
