--- a/ingress/testbed/handover_fleet.py
+++ b/ingress/testbed/handover_fleet.py
@@ -62,17 +62,17 @@
         for a in one:
             for b in other:
                 if a != b:
-                    self.links[a, b].strike("cut")
+                    self.links[a, b].set_mode("cut")
                     if both:
-                        self.links[b, a].strike("cut")
+                        self.links[b, a].set_mode("cut")
 
     def slow(self, ms: float) -> None:
         for link in self.links.values():
-            link.strike("delay", ms)
+            link.set_mode("delay", ms)
 
     def mend(self) -> None:
         for link in self.links.values():
-            link.strike("pass")
+            link.set_mode("pass")
 
     def close(self) -> None:
         for link in self.links.values():
--- a/ingress/testbed/links.py
+++ b/ingress/testbed/links.py
@@ -149,7 +149,7 @@
             self.sides -= {near, far}
             self.end(near)
 
-    def strike(self, mode: str, ms: float = 0.0) -> None:
+    def set_mode(self, mode: str, ms: float = 0.0) -> None:
         """Changes the mode; cut also ends all connections. `ms` is the delay of the mode delay."""
         self.mode, self.delay = mode, ms / 1000
         if mode == "cut":
--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -332,9 +332,9 @@
                 make_connection.abort()  # what it took while silent is never answered
 
     async def _disturb_link(self, fault: Fault, link: Link) -> None:
-        link.strike(fault.kind, fault.figures.get("ms", 0.0))
+        link.set_mode(fault.kind, fault.figures.get("ms", 0.0))
         await asyncio.sleep(fault.figures["seconds"])
-        link.strike("pass")
+        link.set_mode("pass")
 
     async def _strike_ingress(self, kind: str, ingress: Ingress, seconds: float) -> None:
         process, life, door = ingress.process, ingress.life, self.customers.doors[ingress.number]
