--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -131,7 +131,7 @@
 
     # Faults
 
-    def every(self, **figures: float) -> None:
+    def set_all(self, **figures: float) -> None:
         """Sets fields of all paths."""
         for path in self.table.values():
             for name, value in figures.items():
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,7 +13,7 @@
 def test_twelve_started_at_once_find_one_another_and_leave_gracefully() -> None:
     async def case(stand: Stand) -> None:
         await stand.whole()
-        stand.fleet.paths.every(loss=0.1, again=0.1, delay=0.01, spread=0.9)
+        stand.fleet.paths.set_all(loss=0.1, again=0.1, delay=0.01, spread=0.9)
         counts = stand.fleet.paths.counts
         await stand.until(
             {3},
