--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -50,7 +50,7 @@
     delayed: int = 0
     cut: int = 0
     held: int = 0
-    strange: int = 0  # from an address that belongs to no ingress
+    unknown_sender: int = 0  # from an address that belongs to no ingress
 
 
 class Hub(asyncio.DatagramProtocol):
@@ -100,7 +100,7 @@
     def receive(self, data: bytes, source: Address, to: int) -> None:
         sender = self.numbers.get(source[:2])
         if sender is None or sender == to:
-            self.counts.strange += 1
+            self.counts.unknown_sender += 1
             return
         path, counts = self.table[sender, to], self.counts
         if path.cut:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -27,7 +27,7 @@
         )
         assert all(f["buried"] == 0 for f in said.values())
         assert min(counts.lost, counts.repeated, counts.delayed) > 10, counts
-        assert not counts.strange, counts
+        assert not counts.unknown_sender, counts
 
     run(case)
 
