--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -137,7 +137,7 @@
             for name, value in figures.items():
                 setattr(path, name, value)
 
-    def part(self, one: set[int], other: set[int], both: bool = True) -> None:
+    def partition(self, one: set[int], other: set[int], both: bool = True) -> None:
         """Cuts the paths from `one` to `other`, and back if `both`; the two sets may overlap."""
         for a in one:
             for b in other - {a}:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -54,7 +54,7 @@
     async def case(stand: Stand) -> None:
         await stand.whole()
         one = set(range(6))
-        stand.fleet.paths.part(one, set(range(COUNT)) - one)
+        stand.fleet.paths.partition(one, set(range(COUNT)) - one)
         await stand.until(
             set(range(COUNT)), lambda f: f["there"] == 5 and f["lost"] == 6, "not parted"
         )
@@ -68,7 +68,7 @@
 def test_a_path_that_works_one_way_only_declares_nobody_dead() -> None:
     async def case(stand: Stand) -> None:
         await stand.whole()
-        stand.fleet.paths.part({2}, {7}, both=False)
+        stand.fleet.paths.partition({2}, {7}, both=False)
         await stand.until({2}, lambda f: f["sent"] > 400, "too little was said")
         said = await stand.whole()
         assert stand.fleet.paths.counts.cut >= 2
