--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -150,7 +150,7 @@
         for (a, b), path in self.table.items():
             path.stalled = path.stalled or a in numbers or b in numbers
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """Restores all cut and stalled paths, and delivers the datagrams that were held back."""
         for path in self.table.values():
             path.cut = path.stalled = False
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -59,7 +59,7 @@
             set(range(COUNT)), lambda f: f["there"] == 5 and f["lost"] == 6, "not parted"
         )
         assert stand.fleet.paths.counts.cut > 50
-        stand.fleet.paths.mend()
+        stand.fleet.paths.heal()
         await stand.whole()
 
     run(case, rate=30.0)
@@ -101,7 +101,7 @@
         stand.fleet.paths.stall(everyone)
         await stand.until(everyone, lambda f: f["heard"] == 0, "old reports are believed")
         assert stand.fleet.paths.counts.held > 50
-        stand.fleet.paths.mend()
+        stand.fleet.paths.heal()
         after = await stand.whole()
         assert all(after[n]["alone"] > before[n]["alone"] for n in everyone)
 
