--- a/ingress/testbed/invariant_checker.py
+++ b/ingress/testbed/invariant_checker.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from ingress.testbed.deployment import Deployment, Plan
-from ingress.testbed.record import Arrival, Life, Record, Start, ServerNotice, Try
+from ingress.testbed.record import Arrival, Life, Record, ServerNotice, Start, Try
 
 Submission = tuple[str, str, str]
 """A keyed request of a client: its customer, class and key."""
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -14,7 +14,7 @@
 from ingress.testbed.ingresses import Ingress
 from ingress.testbed.invariant_checker import Verdict, judge
 from ingress.testbed.measure import measure
-from ingress.testbed.record import Arrival, Life, Record, Start, ServerNotice, Try
+from ingress.testbed.record import Arrival, Life, Record, ServerNotice, Start, Try
 
 DEPLOYMENT = Deployment(classes=(*CLASSES, replace(CLASSES[1], name="pay", semantics="unsafe")))
 
