--- a/ingress/testbed/datagram_links.py
+++ b/ingress/testbed/datagram_links.py
@@ -138,7 +138,10 @@
                 setattr(path, name, value)
 
     def partition(self, one: set[int], other: set[int], both: bool = True) -> None:
-        """Cuts the paths from `one` to `other`, and back if `both`; the two sets may overlap."""
+        """Cuts the paths from `one` to `other`, and back if `both`.
+
+        The sets may overlap each other and a third one.
+        """
         for a in one:
             for b in other - {a}:
                 self.table[a, b].cut = True
--- a/ingress/testbed/discovery_server.py
+++ b/ingress/testbed/discovery_server.py
@@ -45,7 +45,7 @@
         fault: "silent", "back", or empty for none.
         extra_delay_s: By which each change is delayed further.
         changed: Set and replaced with each change.
-        servers: The listening sockets: an ingress may be told to use another one.
+        servers: The listening sockets: an ingress may be configured to use another one.
         polled_ports: Ports on which the list was polled.
     """
 
--- a/ingress/testbed/links.py
+++ b/ingress/testbed/links.py
@@ -78,7 +78,7 @@
             self._forward_due()
 
     def send(self, data: bytes | None) -> None:
-        """Writes bytes of the other side, or closes for None, which the mode half_close never does."""
+        """Writes bytes of the other side, or closes at its end (None) unless the mode is half_close."""
         if self.transport is None:
             self.unsent.append(data)
         elif data is not None:
