--- a/ingress/testbed/counter.py
+++ b/ingress/testbed/counter.py
@@ -1,4 +1,4 @@
-"""A stub counter: named totals on a few parts, each of which handles its calls in order at a fixed rate."""
+"""A stub counter: named totals on a few parts, each of which handles calls in order at a fixed rate."""
 
 from __future__ import annotations
 
--- a/ingress/testbed/invariant_checker.py
+++ b/ingress/testbed/invariant_checker.py
@@ -138,7 +138,7 @@
             or x.cut
             or life.paused(x.sent, limit)
             or (
-                # The client retries requests that a killed ingress held, but not those that it ended before.
+                # The client retries requests that a killed ingress held, not those ended before.
                 life.how == "killed" and life.down <= min(limit, end) + CLOSE_RACE_S
             )
             or life.killed_late
--- a/ingress/testbed/measure.py
+++ b/ingress/testbed/measure.py
@@ -46,7 +46,7 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Returns the smallest value that at least `share` of the sorted values do not exceed; 0 for none."""
+    """Returns the least value that at least `share` of the sorted values don't exceed; 0 for none."""
     return values[max(0, ceil(share * len(values)) - 1)] if values else 0.0
 
 
--- a/tests/test_lab_breaches.py
+++ b/tests/test_lab_breaches.py
@@ -1,4 +1,4 @@
-"""Tests that the invariant checker reports each seeded fault of an ingress, and nothing without one."""
+"""Tests that the invariant checker reports each seeded fault, and nothing without one."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
         Deployment(rate=30.0, busy=0.05),
         (Fault(0.2, "surge", "editorial", {"seconds": 6.5, "factor": 25.0}),),
     ),
-    # Servers of two generations, submissions that may have run on either, and clients that retry. The run
-    # is longer than the 6 s for which an ingress that has just started rejects repeats unknown to it.
+    # Servers of two generations, submissions that may have run on either, and clients that retry. The
+    # run is longer than the 6 s for which a just started ingress rejects repeats unknown to it.
     "mixed": Scenario(
         "mixed",
         11.0,
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -1,4 +1,4 @@
-"""Tests the invariant checker on handmade records: each hard case, and a similar one without a breach."""
+"""Tests the invariant checker on handmade records: hard cases, each with one that is no breach."""
 
 from __future__ import annotations
 
