--- a/ingress/testbed/world.py
+++ b/ingress/testbed/world.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from ingress.testbed.backend_server import GridServer, Keys, Seat
-from ingress.testbed.backend_server_resp3 import Resp3Seat
+from ingress.testbed.backend_server import GridServer, KeyMemory, ServerConnection
+from ingress.testbed.backend_server_resp3 import Resp3ServerConnection
 from ingress.testbed.clients import OLD_DIALECT, ROUTE_AFTER_KILL_S, ROUTE_AFTER_TERM_S, Customers
-from ingress.testbed.counter import CounterStandIn
+from ingress.testbed.counter import StubCounter
 from ingress.testbed.deployment import zone
 from ingress.testbed.discovery_server import Agent, EndpointPublisher, Entry
 from ingress.testbed.ingresses import Ingress, run_line
@@ -57,7 +57,7 @@
         self.record, self.pairs = Record(), dict[int, Side]()
         self.rng = random.Random(f"world {scenario.seed}")
         self.agents = [Agent(n, self._record_published) for n in range(d.ingresses)]
-        self.counter = CounterStandIn(d.counter_rate, d.counter_parts, self.clock)
+        self.counter = StubCounter(d.counter_rate, d.counter_parts, self.clock)
         count = clients or process_count(d.rate)
         self.customers: Customers | ClientProcesses = (
             Customers(d, self.record, self.clock, scenario.seed, scenario.clients)
@@ -66,7 +66,10 @@
                 count, d, self.record, self.clock, zero, scenario.seed, scenario.clients
             )
         )
-        self.keys = {"v1": Keys("v1"), "v2": Keys("v2")}  # old and new share no memory of keys
+        self.keys = {
+            "v1": KeyMemory("v1"),
+            "v2": KeyMemory("v2"),
+        }  # old and new share no memory of keys
         self.servers = [
             GridServer(
                 f"server-{n}",
@@ -161,12 +164,14 @@
         ]
         if dialect == "http-v2":
             from ingress.testbed.backend_server_http import (
-                HttpSeat,
+                HttpServerConnection,
             )  # needs h11, which runs with the old generation alone do not
 
-            server.seat = HttpSeat
+            server.make_connection = HttpServerConnection
         else:
-            server.seat = Seat if dialect == OLD_DIALECT else Resp3Seat
+            server.make_connection = (
+                ServerConnection if dialect == OLD_DIALECT else Resp3ServerConnection
+            )
 
     async def _listen(
         self, server: GridServer, linked: set[str] | None = None, ports: list[int] | None = None
@@ -344,13 +349,13 @@
         else:
             server.fault = ""
         if fault.kind == "silent":
-            for seat in list(server.seats):
-                seat.abort()  # requests received while silent get no response
+            for make_connection in list(server.connections):
+                make_connection.abort()  # requests received while silent get no response
 
     async def _degrade_link(self, fault: Fault, link: Link) -> None:
-        link.strike(fault.kind, fault.figures.get("ms", 0.0))
+        link.set_mode(fault.kind, fault.figures.get("ms", 0.0))
         await asyncio.sleep(fault.figures["seconds"])
-        link.strike("pass")
+        link.set_mode("pass")
 
     async def _inject_ingress_fault(self, kind: str, ingress: Ingress, seconds: float) -> None:
         process, life, route = ingress.process, ingress.life, self.customers.routes[ingress.number]
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,7 +13,7 @@
 def test_twelve_processes_started_at_once_discover_each_other_and_one_leaves_gracefully() -> None:
     async def case(stand: FleetHarness) -> None:
         await stand.wait_for_all_members()
-        stand.fleet.paths.every(loss=0.1, again=0.1, delay=0.01, spread=0.9)
+        stand.fleet.paths.set_all(loss=0.1, again=0.1, delay=0.01, spread=0.9)
         counts = stand.fleet.paths.counts
         await stand.until(
             {3},
@@ -27,7 +27,7 @@
         )
         assert all(f["buried"] == 0 for f in fleet_counts.values())
         assert min(counts.lost, counts.repeated, counts.delayed) > 10, counts
-        assert not counts.strange, counts
+        assert not counts.unknown_sender, counts
 
     run(case)
 
@@ -58,14 +58,14 @@
     async def case(stand: FleetHarness) -> None:
         await stand.wait_for_all_members()
         first_half = set(range(6))
-        stand.fleet.paths.part(first_half, set(range(COUNT)) - first_half)
+        stand.fleet.paths.partition(first_half, set(range(COUNT)) - first_half)
         await stand.until(
             set(range(COUNT)),
             lambda f: f["there"] == 5 and f["lost"] == 6,
             "the partition was not detected by all members",
         )
         assert stand.fleet.paths.counts.cut > 50
-        stand.fleet.paths.mend()
+        stand.fleet.paths.heal()
         await stand.wait_for_all_members()
 
     run(case, rate=30.0)
@@ -74,7 +74,7 @@
 def test_a_path_that_fails_in_one_direction_declares_no_member_dead() -> None:
     async def case(stand: FleetHarness) -> None:
         await stand.wait_for_all_members()
-        stand.fleet.paths.part({2}, {7}, both=False)
+        stand.fleet.paths.partition({2}, {7}, both=False)
         await stand.until({2}, lambda f: f["sent"] > 400, "too few messages were sent")
         fleet_counts = await stand.wait_for_all_members()
         assert stand.fleet.paths.counts.cut >= 2
@@ -113,7 +113,7 @@
         stand.fleet.paths.stall(everyone)
         await stand.until(everyone, lambda f: f["heard"] == 0, "old reports are used")
         assert stand.fleet.paths.counts.held > 50
-        stand.fleet.paths.mend()
+        stand.fleet.paths.heal()
         after = await stand.wait_for_all_members()
         assert all(after[n]["alone"] > before[n]["alone"] for n in everyone)
 
