--- a/ingress/testbed/invariant_checker.py
+++ b/ingress/testbed/invariant_checker.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from ingress.testbed.deployment import Deployment, Plan
-from ingress.testbed.record import Arrival, Life, Record, ServerNotice, Start, Try
+from ingress.testbed.record import Arrival, Life, Record, Start, Told, Try
 
 Submission = tuple[str, str, str]
 """A keyed request of a client: its customer, class and key."""
@@ -369,7 +369,7 @@
 
 
 def _drains(record: Record, deployment: Deployment) -> Iterable[Breach]:
-    notices: dict[tuple[int, str], list[ServerNotice]] = defaultdict(list)
+    notices: dict[tuple[int, str], list[Told]] = defaultdict(list)
     for notice in sorted(record.told, key=lambda n: n.at):
         notices[notice.ingress, notice.server].append(notice)
     for x in record.arrivals:
--- a/ingress/testbed/record.py
+++ b/ingress/testbed/record.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class ServerNotice:
+class Told:
     """A server's state, as discovery sent it to an ingress."""
 
     ingress: int
@@ -115,7 +115,7 @@
     tries: list[Try] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
     starts: list[Start] = field(default_factory=list)
-    told: list[ServerNotice] = field(default_factory=list)
+    told: list[Told] = field(default_factory=list)
     lives: list[Life] = field(default_factory=list)
     # When, and how many seconds late the machine was.
     lags: list[tuple[float, float]] = field(default_factory=list)
--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -20,7 +20,7 @@
 from ingress.handover.messages import record_name
 from ingress.handover.replica import replicas_for
 from ingress.testbed.backend_server import GridServer
-from ingress.testbed.client_codecs import RespClientCodec, RequestFields
+from ingress.testbed.client_codecs import RequestFields, RespClientCodec
 from ingress.testbed.deployment import Deployment
 from ingress.testbed.handover_fleet import HandoverLinks
 from ingress.testbed.invariant_checker import Verdict, judge
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -14,7 +14,7 @@
 from ingress.testbed.ingresses import Ingress
 from ingress.testbed.invariant_checker import Verdict, judge
 from ingress.testbed.measure import measure
-from ingress.testbed.record import Arrival, Life, Record, ServerNotice, Start, Try
+from ingress.testbed.record import Arrival, Life, Record, Start, Told, Try
 
 DEPLOYMENT = Deployment(classes=(*CLASSES, replace(CLASSES[1], name="pay", semantics="unsafe")))
 
@@ -192,15 +192,13 @@
 
 @pytest.mark.parametrize(("first", "broken"), [(11.04, False), (11.06, True)])
 def test_a_drain_binds_an_ingress_from_its_notification_on(first: float, broken: bool) -> None:
-    notices = [ServerNotice(0, "s1", "draining", 10.0), ServerNotice(0, "s1", "gone", 10.9)]
+    notices = [Told(0, "s1", "draining", 10.0), Told(0, "s1", "gone", 10.9)]
     late = make_arrival(first, first + 0.1)
     assert bool(breaches_in(arrivals=(late,), told=notices)) is broken
     assert (
         breaches_in(arrivals=(replace(late, ingress=1),), told=notices) == []
     )  # another one was not notified
-    assert (
-        breaches_in(arrivals=(late,), told=[*notices, ServerNotice(0, "s1", "ready", 11.0)]) == []
-    )
+    assert breaches_in(arrivals=(late,), told=[*notices, Told(0, "s1", "ready", 11.0)]) == []
     # A process that started later goes by the list it started with.
     assert (
         breaches_in(
@@ -209,7 +207,7 @@
         == []
     )
     restarted = (Life(0, 0.0, 10.5, "killed"), Life(0, 10.6))
-    own_notice = ServerNotice(0, "s1", "gone", 10.6)
+    own_notice = Told(0, "s1", "gone", 10.6)
     assert_only_breach(
         breaches_in(
             arrivals=(replace(late, first=11.7),), told=[*notices, own_notice], lives=restarted
