--- a/ingress/compilation/__init__.py
+++ b/ingress/compilation/__init__.py
@@ -1,4 +1,4 @@
-"""Chooses the compiled form of the hot modules, if it was made of exactly these sources."""
+"""Selects the compiled form of the hot modules if it was built from exactly these sources."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from types import ModuleType
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-COMPILED_DIR = ROOT / ".compiled"  # a folder for each stamp; nothing else is kept there
+COMPILED_DIR = ROOT / ".compiled"  # one folder per stamp; nothing else may be stored here
 REQUIREMENTS_FILE = "requirements-build.txt"
 MODE_VARIABLE = "INGRESS_COMPILED"
 MODES = ("auto", "off", "require")
-GROUP_NAME = "ingress_hot"  # names the library that holds the code of all modules
+GROUP_NAME = "ingress_hot"  # name of the shared library with the code of all modules
 GROUP_MODULE = f"{GROUP_NAME}__mypyc"
-OPTIMIZATION_LEVEL = "3"  # of the C compiler
+OPTIMIZATION_LEVEL = "3"  # passed to the C compiler
 STAMP_DIGITS = 24
 MODULES = (
     "ingress.policy.actions",
@@ -52,7 +52,7 @@
     "ingress.core.ports",
     "ingress.core.call_limits",
     "ingress.core.timer_wheel",
-    "ingress.protocol_versions.http_v2",  # not hot; it has a subclass of one of core's classes
+    "ingress.protocol_versions.http_v2",  # not hot; it subclasses a class of a compiled core module
     "ingress.policy.shed_order",
     "ingress.policy.concurrency_limiter",
     "ingress.platform.counter_client",
@@ -83,34 +83,35 @@
 
 
 class NotCompiledError(Exception):
-    """A compiled form is required and there is none to use; the text says why."""
+    """The compiled form is required but can't be used; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Form:
-    """Which form of the hot modules this process runs.
+    """The form of the hot modules that this process runs.
 
     Attributes:
-        compiled: Whether it is the compiled one.
-        why: Its stamp, or the reason why it is not.
+        compiled: True for the compiled form, False for the interpreted one.
+        detail: Stamp of the compiled form, or the reason for running interpreted.
     """
 
     compiled: bool
-    why: str
+    detail: str
 
     def __str__(self) -> str:
-        return f"{'compiled' if self.compiled else 'interpreted'}: {self.why}"
+        return f"{'compiled' if self.compiled else 'interpreted'}: {self.detail}"
 
 
 def source_path(module: str, root: Path = ROOT) -> Path:
-    """Returns the source file of a module."""
+    """Returns the path of a module's source file."""
     return root.joinpath(*module.split(".")).with_suffix(".py")
 
 
 def stamp(root: Path = ROOT) -> str:
-    """Returns a digest of all that a compiled form depends on.
+    """Returns a digest of everything that a compiled form depends on.
 
-    That is every compiled source, this Python, and the requirements of the compiler.
+    The digest covers the sources of all compiled modules, the running Python, the optimization
+    level and the compiler's requirements file.
 
     Raises:
         OSError: A source can't be read.
@@ -125,12 +126,12 @@
 
 
 def library_path(folder: Path, name: str) -> Path:
-    """Returns where a module's compiled form is in the folder of its stamp."""
+    """Returns the path of a module's shared library within the folder of its stamp."""
     return folder.joinpath(*name.split(".")).with_suffix(EXTENSION_SUFFIXES[0])
 
 
 class CompiledModuleFinder:
-    """An import finder for the modules in one stamp's folder, ahead of their sources."""
+    """Import finder that loads compiled modules from one stamp's folder instead of the sources."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -139,7 +140,7 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Returns the spec of a compiled module, None for any other."""
+        """Returns the spec of a compiled module, or None for any other module."""
         if name not in self.names:
             return None
         origin = str(library_path(self.folder, name))
@@ -149,29 +150,32 @@
 
 
 def use(mode: str | None = None, home: Path = COMPILED_DIR, root: Path = ROOT) -> Form:
-    """Makes imports that follow take the compiled form, if there is one of these sources.
+    """Makes later imports load the compiled form if it was built from the current sources.
 
-    A form whose build was interrupted, or that belongs to other sources or another Python, is never
-    used: its folder has another name or does not exist.
+    A form is never used if its build was interrupted or if it belongs to other sources or another
+    Python: its folder has another name or does not exist.
 
     Args:
-        mode: "auto", "off" or "require"; None takes it from the environment.
-        home: Folder of the compiled forms.
-        root: Folder of the sources.
+        mode: "auto", "off" or "require"; None reads the environment variable.
+        home: Folder that contains the compiled forms.
+        root: Root folder of the sources.
+
+    Returns:
+        The form that later imports load.
 
     Raises:
-        NotCompiledError: It is required and missing.
-        ValueError: There is no such mode.
+        NotCompiledError: The mode is "require" and no compiled form can be used.
+        ValueError: The mode is unknown.
     """
     mode = os.environ.get(MODE_VARIABLE, "auto") if mode is None else mode
     if mode not in MODES:
-        raise ValueError(f"{MODE_VARIABLE}: {mode!r} is none of {', '.join(MODES)}")
+        raise ValueError(f"{MODE_VARIABLE}: {mode!r} is not one of {', '.join(MODES)}")
     if mode == "off":
-        return Form(False, f"{MODE_VARIABLE} says off")
+        return Form(False, f"{MODE_VARIABLE} is off")
     try:
         folder = home / stamp(root)
     except OSError as error:
-        obstacle = f"a source can't be read: {error}"
+        obstacle = f"can't read a source: {error}"
     else:
         obstacle = _obstacle(folder)
         if not obstacle:
@@ -183,13 +187,13 @@
 
 
 def _obstacle(folder: Path) -> str:
-    """Returns why the form in `folder` can't be used, an empty string if it can."""
+    """Returns the reason why the form in `folder` can't be used, or "" if it can be used."""
     for name in MODULES:
         if name in sys.modules:
-            return f"{name} was imported before"
+            return f"{name} is already imported"
     if not folder.is_dir():
-        return "nothing compiled belongs to these sources; the build makes it"
+        return "no compiled form of these sources; run python -m ingress.compilation build"
     for name in (*MODULES, GROUP_MODULE):
         if not library_path(folder, name).is_file():
-            return f"{folder.name} lacks {name}"
+            return f"{folder.name} has no {name}"
     return ""
--- a/ingress/compilation/__main__.py
+++ b/ingress/compilation/__main__.py
@@ -1,4 +1,4 @@
-"""Compiles the hot modules: `python -m ingress.compilation build`; `show` tells what there is."""
+"""Compiles the hot modules (`build`) or reports whether they are compiled (`show`)."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
     stamp,
 )
 
-WORK_PREFIX = "work-"  # of the name of a folder in which a form is being made
-STALE_AFTER_S = 3600.0  # such a folder was left behind by a build that was interrupted
-MAX_ERROR_LINES = 40  # of a failed compiler's output
+WORK_PREFIX = "work-"  # starts the name of a folder in which a build runs
+STALE_AFTER_S = 3600.0  # an older work folder belongs to an interrupted build
+MAX_ERROR_LINES = 40  # at the end of a failed compiler's output
 EXAMPLE = "Example: .venv-build/bin/python -m ingress.compilation build --for .venv/bin/python"
 EXIT_COMPILED = 0
 EXIT_NOT_COMPILED = 1
 
 
 class CompilationError(Exception):
-    """No compiled form could be made; the text says why."""
+    """The build of the compiled form failed; the message gives the reason."""
 
 
 SETUP_SCRIPT = """
@@ -50,12 +50,12 @@
 
 
 def compile_into(folder: Path, interpreter: str, root: Path) -> None:
-    """Compiles a copy of the sources in `folder`, so that an edit meanwhile changes nothing.
+    """Compiles a copy of the sources in `folder`, so that edits during the build have no effect.
 
     Args:
-        folder: Where the copy and the result are made.
-        interpreter: Python whose packages the sources import, for their types.
-        root: Folder of the sources.
+        folder: Receives the copy of the sources and the compiled modules.
+        interpreter: Python whose installed packages provide the types that the sources import.
+        root: Root folder of the sources.
 
     Raises:
         CompilationError: The compiler failed.
@@ -79,11 +79,13 @@
     )
     if done.returncode:
         lines = (done.stdout + done.stderr).splitlines()[-MAX_ERROR_LINES:]
-        raise CompilationError("\n".join(lines) or f"the compiler ended with {done.returncode}")
+        raise CompilationError(
+            "\n".join(lines) or f"the compiler exited with status {done.returncode}"
+        )
 
 
 def _copy_sources(folder: Path, root: Path) -> list[str]:
-    """Copies what is compiled and what that imports; returns the names of what is compiled."""
+    """Copies all sources and the requirements file; returns the paths of the modules to compile."""
     shutil.copyfile(root / REQUIREMENTS_FILE, folder / REQUIREMENTS_FILE)
     targets = []
     for name in MODULES:
@@ -103,13 +105,13 @@
 
 
 def build(home: Path, interpreter: str, root: Path = ROOT) -> Path:
-    """Makes the form of the sources as they are, unless it exists, and returns its folder.
+    """Builds the compiled form of the current sources unless it exists, and returns its folder.
 
-    It appears complete or not at all: it is made in a folder of another name, which is renamed at
-    the end.
+    The final folder is either complete or absent: the build runs in a temporary folder, which is
+    renamed at the end.
 
     Raises:
-        CompilationError: The compiler failed, or the sources changed meanwhile.
+        CompilationError: The compiler failed, or the sources changed during the build.
         OSError: A file can't be read or written.
     """
     name = stamp(root)
@@ -124,21 +126,21 @@
         form = work / "form"
         compile_into(work, interpreter, root)
         for module in (*MODULES, GROUP_MODULE):
-            made = library_path(work / "lib", module)
-            if not made.is_file():
-                raise CompilationError(f"the compiler made no {made.name}")
-            _copy(made, library_path(form, module))
+            library = library_path(work / "lib", module)
+            if not library.is_file():
+                raise CompilationError(f"the compiler produced no {library.name}")
+            _copy(library, library_path(form, module))
         if stamp(work) != name:
-            raise CompilationError("the sources changed meanwhile")
-        with contextlib.suppress(OSError):  # another build of the same may have been first
+            raise CompilationError("the sources changed during the build")
+        with contextlib.suppress(OSError):  # a concurrent build may have created it
             form.rename(final)
     if not final.is_dir():
-        raise CompilationError(f"{final} could not be put in place")
+        raise CompilationError(f"{final} could not be created")
     return final
 
 
 def remove_stale(home: Path, keep: Path) -> None:
-    """Removes forms of other sources, and what interrupted builds have left."""
+    """Removes the forms of other sources and the work folders of interrupted builds."""
     for folder in home.iterdir():
         with contextlib.suppress(OSError):
             age = time.time() - folder.stat().st_mtime
@@ -159,15 +161,17 @@
         dest="interpreter",
         default=sys.executable,
         metavar="PYTHON",
-        help="the Python that will run it, whose packages the sources import (this one)",
+        help="the Python that will run the compiled form; its packages provide types (this Python)",
+    )
+    parser.add_argument(
+        "--json", action="store_true", help="print one JSON object with stable keys"
     )
-    parser.add_argument("--json", action="store_true", help="one object with stable names")
     return parser
 
 
 def _build_current(interpreter: str, folder: Path) -> str:
-    """Builds the form of these sources; returns why that failed, or an empty string."""
-    sys.stderr.write(f"compiling {len(MODULES)} modules; about a minute\n")
+    """Builds the form of the current sources; returns the reason for a failure, or ""."""
+    sys.stderr.write(f"compiling {len(MODULES)} modules; this takes about a minute\n")
     try:
         build(COMPILED_DIR, str(Path(interpreter).absolute()))
     except (CompilationError, OSError) as error:
@@ -180,28 +184,28 @@
     """Runs the command line.
 
     Returns:
-        0 if there is a form of these sources; 1 if there is none and the program runs interpreted.
+        0 if the current sources are compiled; 1 if not, and the program runs interpreted.
     """
     options = _parser().parse_args(arguments)
-    began = time.monotonic()
-    why = ""
+    started_at = time.monotonic()
+    failure = ""
     folder = COMPILED_DIR / stamp()
     if options.command == "build" and not folder.is_dir():
-        why = _build_current(options.interpreter, folder)
+        failure = _build_current(options.interpreter, folder)
     compiled = folder.is_dir()
     if options.json:
         report = {
             "compiled": compiled,
             "stamp": folder.name,
-            "seconds": round(time.monotonic() - began, 1),
-            "why": why,
+            "seconds": round(time.monotonic() - started_at, 1),
+            "why": failure,
             "modules": list(MODULES),
         }
         text = json.dumps(report)
     else:
         text = f"{folder.name}: {'compiled' if compiled else 'not compiled'}"
-        if why:
-            text += f"\n{why}"
+        if failure:
+            text += f"\n{failure}"
     sys.stdout.write(f"{text}\n")
     return EXIT_COMPILED if compiled else EXIT_NOT_COMPILED
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,6 +1,7 @@
-"""Chooses the form of the program under test before any test imports it.
+"""Selects the form of the program under test before any test imports it.
 
-The sources, unless INGRESS_COMPILED says "require".  Processes that tests start inherit the choice.
+Tests run the interpreted sources unless INGRESS_COMPILED is "require".  Processes that tests start
+inherit the setting.
 """
 
 import os
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared helpers: a small deployment and a gateway to play events to."""
+"""Shared helpers: a small deployment and a gateway that handles scripted events."""
 
 from __future__ import annotations
 
@@ -29,21 +29,23 @@
 from tests import FORM
 from tests.known_failures import mark_known_failures, pytest_terminal_summary
 
-__all__ = ["pytest_terminal_summary"]  # a hook: pytest finds it here
+__all__ = ["pytest_terminal_summary"]  # a pytest hook, looked up in this module
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Marks known failures; skips what replaces compiled code when the compiled form is under test.
+    """Marks known failures; with the compiled form, skips tests that patch compiled code.
 
-    What is compiled can't be replaced from outside: a test that does so says so, and runs
-    interpreted.
+    Compiled classes and functions can't be patched from outside.  A test that patches them has the
+    marker `interpreted` and runs only with the interpreted form.
     """
     mark_known_failures(items)
     if FORM.compiled:
         for item in items:
             if item.get_closest_marker("interpreted"):
                 item.add_marker(
-                    pytest.mark.skip(reason="replaces what is compiled: it runs interpreted")
+                    pytest.mark.skip(
+                        reason="patches compiled code; runs only with the interpreted form"
+                    )
                 )
 
 
@@ -74,7 +76,7 @@
 
 
 class Play:
-    """A gateway under test, with a clock and what it has done so far."""
+    """A gateway under test with a clock; records the gateway's actions."""
 
     def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Backend] = FLEET) -> None:
         self.now = 100.0
@@ -85,9 +87,9 @@
 
     def at(self, after: float, event: Event) -> list[Action]:
         self.now += after
-        done = self.gateway.handle(self.now, event)
-        self.actions += done
-        return done
+        produced = self.gateway.handle(self.now, event)
+        self.actions += produced
+        return produced
 
     def ask(self, after: float = 0.0, **changes: Any) -> list[Action]:
         self.count += 1
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,4 +1,4 @@
-"""Known failures: `KNOWN-RED.txt` names tests that may fail, each with an open issue."""
+"""Known failures: `KNOWN-RED.txt` lists the tests that may fail, each with an open issue."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class KnownFailuresError(ValueError):
-    """An entry of the file that lacks a field, repeats one or names an unknown one."""
+    """An entry of the file has a missing, repeated or unknown field."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """One entry: the test's node id, how to repeat the failure, what was seen, the open issue."""
+    """One entry: the test's node id, the command that reproduces it, the observation, the issue."""
 
     test: str
     command: str
@@ -30,7 +30,7 @@
     """Returns the entries of the file's text, in order.
 
     Raises:
-        KnownFailuresError: An entry has not each of the four fields exactly once.
+        KnownFailuresError: An entry doesn't contain each of the four fields exactly once.
     """
     entries = []
     for number, block in enumerate(text.split("\n\n"), 1):
@@ -42,7 +42,7 @@
             name, separator, value = line.partition(": ")
             if not separator or name not in FIELDS or name in fields or not value.strip():
                 raise KnownFailuresError(
-                    f"block {number}: {line!r}: wanted is `name: value`, once for each of "
+                    f"block {number}: {line!r}: expected `name: value`, once for each of "
                     f"{', '.join(FIELDS)}"
                 )
             fields[name] = value.strip()
@@ -53,12 +53,12 @@
 
 
 def read_known_failures(path: Path = KNOWN_FAILURES_FILE) -> tuple[KnownFailure, ...]:
-    """Returns the entries of the file; none where there is no file."""
+    """Returns the entries of the file; an empty tuple if the file doesn't exist."""
     return parse_known_failures(path.read_text(encoding="utf-8")) if path.exists() else ()
 
 
 def mark_known_failures(items: Iterable[pytest.Item]) -> None:
-    """Marks the listed tests: they run, and neither failure nor success fails the run."""
+    """Marks the listed tests as non-strict xfail: neither failing nor passing fails the run."""
     known = {entry.test: entry for entry in read_known_failures()}
     for item in items:
         if entry := known.get(item.nodeid):
@@ -67,7 +67,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints how each listed test of this run ended."""
-    for outcome, words in (("xfailed", "failed, as known"), ("xpassed", "passed this time")):
+    """Prints the outcome of each listed test of this run."""
+    for outcome, description in (("xfailed", "failed, as known"), ("xpassed", "passed this time")):
         for report in terminalreporter.getreports(outcome):
-            terminalreporter.write_line(f"KNOWN-RED {report.nodeid}: {words}")
+            terminalreporter.write_line(f"KNOWN-RED {report.nodeid}: {description}")
--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -1,4 +1,4 @@
-"""The compiled form is used only for the very sources that it was made of."""
+"""Tests that the compiled form is used only for exactly the sources it was built from."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def copied(folder: Path) -> tuple[Path, Path]:
-    """The sources elsewhere, and a home with a form of them that holds empty files."""
+def copy_with_form(folder: Path) -> tuple[Path, Path]:
+    """Copies the sources; returns their folder and the folder of a form made of empty files."""
     for name in MODULES:
         source_path(name, folder).parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(source_path(name), source_path(name, folder))
@@ -44,18 +44,20 @@
 
 
 @pytest.fixture
-def nothing_imported(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As at a start: no module is imported yet; the import finders are restored afterwards."""
+def no_hot_modules_imported(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Removes the hot modules from sys.modules; restores them and the import finders afterwards."""
     monkeypatch.setattr(sys, "meta_path", list(sys.meta_path))
     for name in MODULES:
         monkeypatch.delitem(sys.modules, name, raising=False)
 
 
-def test_uses_a_form_of_these_sources(tmp_path: Path, nothing_imported: None) -> None:
-    root, home = copied(tmp_path)
+def test_uses_the_form_of_the_current_sources(
+    tmp_path: Path, no_hot_modules_imported: None
+) -> None:
+    root, home = copy_with_form(tmp_path)
     form = use("require", home, root)
     assert form.compiled
-    assert form.why == stamp(root)
+    assert form.detail == stamp(root)
     assert isinstance(sys.meta_path[0], compilation.CompiledModuleFinder)
     assert sys.meta_path[0].find_spec("ingress.core.upstream_dispatcher") is None
     spec = sys.meta_path[0].find_spec("ingress.policy.gateway")
@@ -64,87 +66,89 @@
 
 
 @pytest.mark.parametrize("name", [*MODULES, compilation.REQUIREMENTS_FILE])
-def test_an_edited_source_runs_interpreted(
-    name: str, tmp_path: Path, nothing_imported: None
+def test_an_edited_source_makes_the_program_run_interpreted(
+    name: str, tmp_path: Path, no_hot_modules_imported: None
 ) -> None:
-    root, home = copied(tmp_path)
+    root, home = copy_with_form(tmp_path)
     path = root / name if name == compilation.REQUIREMENTS_FILE else source_path(name, root)
     path.write_bytes(path.read_bytes() + b"\n")
     assert str(use("auto", home, root)) == (
-        "interpreted: nothing compiled belongs to these sources; the build makes it"
+        "interpreted: no compiled form of these sources; run python -m ingress.compilation build"
     )
-    with pytest.raises(NotCompiledError, match="belongs to these sources"):
+    with pytest.raises(NotCompiledError, match="no compiled form of these sources"):
         use("require", home, root)
 
 
-def test_rejects_a_form_that_lacks_a_module(tmp_path: Path, nothing_imported: None) -> None:
-    root, home = copied(tmp_path)
+def test_rejects_a_form_that_lacks_a_module(tmp_path: Path, no_hot_modules_imported: None) -> None:
+    root, home = copy_with_form(tmp_path)
     library_path(home / stamp(root), "ingress.resp.client_protocol").unlink()
-    assert use("auto", home, root).why.endswith("lacks ingress.resp.client_protocol")
+    assert use("auto", home, root).detail.endswith("has no ingress.resp.client_protocol")
 
 
 def test_rejects_a_form_for_another_python(
-    tmp_path: Path, nothing_imported: None, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, no_hot_modules_imported: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    root, home = copied(tmp_path)
+    root, home = copy_with_form(tmp_path)
     monkeypatch.setattr(compilation, "EXTENSION_SUFFIXES", [".cpython-399-x86_64-linux-gnu.so"])
     assert not use("auto", home, root).compiled
 
 
-def test_rejects_a_form_once_a_module_was_imported(tmp_path: Path, nothing_imported: None) -> None:
-    root, home = copied(tmp_path)
+def test_rejects_a_form_if_a_module_is_already_imported(
+    tmp_path: Path, no_hot_modules_imported: None
+) -> None:
+    root, home = copy_with_form(tmp_path)
     sys.modules["ingress.policy.gateway"] = sys.modules[__name__]
-    assert use("auto", home, root).why == "ingress.policy.gateway was imported before"
+    assert use("auto", home, root).detail == "ingress.policy.gateway is already imported"
 
 
-def test_can_be_switched_off_and_rejects_unknown_modes(
+def test_mode_off_disables_the_form_and_unknown_modes_are_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert not use("off", tmp_path).compiled
     monkeypatch.setenv(MODE_VARIABLE, "fast")
-    with pytest.raises(ValueError, match="'fast' is none of auto, off, require"):
+    with pytest.raises(ValueError, match="'fast' is not one of auto, off, require"):
         use()
 
 
-def test_an_interrupted_build_leaves_nothing(
-    tmp_path: Path, nothing_imported: None, monkeypatch: pytest.MonkeyPatch
+def test_an_interrupted_build_leaves_no_folder(
+    tmp_path: Path, no_hot_modules_imported: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    root, home = copied(tmp_path)
+    root, home = copy_with_form(tmp_path)
     shutil.rmtree(home)
 
-    def interrupted(folder: Path, interpreter: str, root: Path) -> None:
+    def interrupt_compilation(folder: Path, interpreter: str, root: Path) -> None:
         for name in MODULES[:4]:
             library_path(folder / "lib", name).parent.mkdir(parents=True, exist_ok=True)
             library_path(folder / "lib", name).touch()
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(builder, "compile_into", interrupted)
+    monkeypatch.setattr(builder, "compile_into", interrupt_compilation)
     with pytest.raises(KeyboardInterrupt):
         builder.build(home, sys.executable, root)
     assert not use("auto", home, root).compiled
     assert list(home.iterdir()) == []
 
 
-def test_sources_that_change_meanwhile_make_no_form(
+def test_a_build_fails_if_the_sources_change_during_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    root, home = copied(tmp_path)
+    root, home = copy_with_form(tmp_path)
     shutil.rmtree(home)
 
-    def edited(folder: Path, interpreter: str, root: Path) -> None:
-        copied(folder)
+    def compile_edited_copy(folder: Path, interpreter: str, root: Path) -> None:
+        copy_with_form(folder)
         (folder / compilation.REQUIREMENTS_FILE).write_text("mypy==0\n", encoding="utf-8")
         for name in (*MODULES, GROUP_MODULE):
             library_path(folder / "lib", name).parent.mkdir(parents=True, exist_ok=True)
             library_path(folder / "lib", name).touch()
 
-    monkeypatch.setattr(builder, "compile_into", edited)
-    with pytest.raises(builder.CompilationError, match="changed meanwhile"):
+    monkeypatch.setattr(builder, "compile_into", compile_edited_copy)
+    with pytest.raises(builder.CompilationError, match="changed during the build"):
         builder.build(home, sys.executable, root)
     assert list(home.iterdir()) == []
 
 
-def test_removes_forms_of_other_sources_but_no_running_build(tmp_path: Path) -> None:
+def test_removes_forms_of_other_sources_but_not_a_running_build(tmp_path: Path) -> None:
     for name in ("keep", "old", "work-now", "work-old"):
         (tmp_path / name).mkdir()
     os.utime(tmp_path / "work-old", (time.time() - 2 * builder.STALE_AFTER_S,) * 2)
@@ -152,7 +156,7 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == ["keep", "work-now"]
 
 
-def test_a_failed_build_says_why_and_ends_with_status_1(
+def test_a_failed_build_reports_the_reason_and_exits_with_status_1(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(builder, "COMPILED_DIR", tmp_path / "home")
@@ -160,7 +164,7 @@
     assert builder.main(["build", "--json"]) == 1
     report = json.loads(capsys.readouterr().out)
     assert not report["compiled"]
-    assert report["why"] == "the compiler ended with 1"
+    assert report["why"] == "the compiler exited with status 1"
     assert report["stamp"] == stamp()
 
 
@@ -177,7 +181,7 @@
         check=True,
     )
     assert done.stdout == (
-        "ingress 0.1.0, interpreted: INGRESS_COMPILED says off\n"
+        "ingress 0.1.0, interpreted: INGRESS_COMPILED is off\n"
         if mode == "off"
         else f"ingress 0.1.0, compiled: {stamp()}\n"
     )
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -1,4 +1,4 @@
-"""The compiled and the interpreted form of the hot modules do the same."""
+"""Tests that the compiled and the interpreted form of the hot modules behave the same."""
 
 from __future__ import annotations
 
@@ -38,35 +38,37 @@
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 2**32))
-def test_the_same_drawn_troubles_bring_the_same_actions(seed: int) -> None:
-    plain, fast = (Stage(form.policy, form.policy_gateway, seed, seconds=4.0) for form in forms())
-    plain.play()
-    fast.play()
-    assert plain.seen["StartAttempt"] > 5
-    assert plain.lines == fast.lines
-
-
-def into(form: SimpleNamespace, value: Any) -> Any:
-    """The value with this form's classes in place of another's."""
+def test_the_same_random_faults_cause_the_same_actions(seed: int) -> None:
+    interpreted, compiled = (
+        Stage(form.policy, form.policy_gateway, seed, seconds=4.0) for form in forms()
+    )
+    interpreted.play()
+    compiled.play()
+    assert interpreted.seen["StartAttempt"] > 5
+    assert interpreted.lines == compiled.lines
+
+
+def to_form(form: SimpleNamespace, value: Any) -> Any:
+    """Returns a copy of the value whose classes are those of `form`."""
     if isinstance(value, Enum):
         return getattr(form.policy, type(value).__name__)[value.name]
     if is_dataclass(value) and not isinstance(value, type):
-        made = {f.name: into(form, getattr(value, f.name)) for f in fields(value)}
-        return getattr(form.policy, type(value).__name__)(**made)
+        values = {f.name: to_form(form, getattr(value, f.name)) for f in fields(value)}
+        return getattr(form.policy, type(value).__name__)(**values)
     if isinstance(value, tuple):
-        return tuple(into(form, part) for part in value)
+        return tuple(to_form(form, part) for part in value)
     return value
 
 
-def told(act: Callable[[], Any]) -> str:
-    """What came of it, as text: the result or the kind of error."""
+def outcome_text(operation: Callable[[], Any]) -> str:
+    """Returns the result as text, or the name of the exception's class."""
     try:
-        return repr(act())
+        return repr(operation())
     except Exception as error:
         return type(error).__name__
 
 
-# JSON has whole numbers where floats are meant.
+# Integers too: JSON may hold an integer where the code expects a float.
 NUMBERS = st.one_of(st.floats(0.0, 5.0), st.integers(0, 5))
 IDS, SERVERS = (
     st.sampled_from(["r1", "r2", "r3", "r4"]),
@@ -134,10 +136,10 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.tuples(NUMBERS, EVENTS), max_size=40), st.booleans())
-def test_any_events_bring_the_same_actions_or_the_same_error(
+def test_any_events_cause_the_same_actions_or_the_same_error(
     events: list[tuple[float, Any]], counts: bool
 ) -> None:
-    """Events that no exchange would feed too, and whole numbers where floats are meant."""
+    """Includes events that no exchange would produce, and integers in place of floats."""
     gateways = []
     for form in forms():
         plans = form.policy.Plan("basic", 2, 8, 3, over_quota_cost=0.5), form.policy.Plan("none")
@@ -169,42 +171,47 @@
     now = 100.0
     for gap, event in events:
         now += gap
-        plain, fast = (
-            told(partial(gateway.handle, now, into(form, event)))
+        interpreted, compiled = (
+            outcome_text(partial(gateway.handle, now, to_form(form, event)))
             for gateway, form in zip(gateways, forms(), strict=True)
         )
-        assert plain == fast
+        assert interpreted == compiled
 
 
 class Script:
-    """A front, a back, a counter and timers that write down what an exchange does."""
+    """Client side, backend side and timers of an exchange; records every action of the exchange."""
 
-    def __init__(self, form: SimpleNamespace, most_open: int) -> None:
+    def __init__(self, form: SimpleNamespace, max_open: int) -> None:
         self.form, self.now, self.lines = form, 100.0, list[str]()
         self.timers: list[tuple[float, Any, Any]] = []
         config = read_settings(json.loads(json.dumps(SETTINGS)))
-        mine = into(form, config)
+        settings_of_form = to_form(form, config)
         self.exchange = form.core_exchange.Exchange(
-            form.policy_gateway.Gateway(mine, 3), mine, lambda: self.now, self, most_open, 200_000
+            form.policy_gateway.Gateway(settings_of_form, 3),
+            settings_of_form,
+            lambda: self.now,
+            self,
+            max_open,
+            200_000,
         )
         self.exchange.upstream = self
-        self.out: list[Any] = []
-        self.fronts: list[Front] = []
+        self.in_flight: list[Any] = []
+        self.requests: list[ClientRequest] = []
         rows = tuple(form.policy.Backend(f"s{n}", "a", "m", 1) for n in range(6))
         self.exchange.backends_changed(
             form.policy.EndpointListKind.RESTORED, rows, {row.id: ("h", 1) for row in rows}, 1
         )
 
     def call_later(self, delay: float, callback: Any, *args: Any) -> SimpleNamespace:
-        row = [True]
-        self.timers.append((self.now + delay, callback, (row, args)))
-        return SimpleNamespace(cancel=lambda: row.__setitem__(0, False))
+        active = [True]
+        self.timers.append((self.now + delay, callback, (active, args)))
+        return SimpleNamespace(cancel=lambda: active.__setitem__(0, False))
 
     def change(self, full: bool, backends: Any, addresses: Any) -> None: ...
 
     def start(self, attempt: Any) -> None:
         self.lines.append(f"start {attempt.request_key} {attempt.number} {attempt.backend}")
-        self.out.append(attempt)
+        self.in_flight.append(attempt)
 
     def cancel(self, attempt: Any) -> None:
         self.lines.append(f"cancel {attempt.request_key}")
@@ -212,11 +219,11 @@
     def withdraw(self, attempt: Any) -> None:
         self.lines.append(f"withdraw {attempt.request_key}")
 
-    def step(self, what: str, number: int) -> None:
+    def step(self, action: str, number: int) -> None:
         calls, api = self.form.core_calls, self.form.policy
-        if what == "ask":
-            front = Front(self, len(self.fronts))
-            self.fronts.append(front)
+        if action == "ask":
+            client_request = ClientRequest(self, len(self.requests))
+            self.requests.append(client_request)
             call = calls.Call(
                 b"id%d" % (number % 50),
                 f"c{number % 7}",
@@ -230,21 +237,23 @@
                 bool(number % 3),
                 "key" if number % 3 else "",
             )
-            self.lines.append("ask " + told(lambda: self.exchange.request(front, call, self.now)))
-        elif what == "hang up" and self.fronts:
-            self.exchange.client_disconnected(self.fronts[number % len(self.fronts)])
-        elif what == "end" and self.out:
-            attempt = self.out.pop(number % len(self.out))
+            self.lines.append(
+                "ask " + outcome_text(lambda: self.exchange.request(client_request, call, self.now))
+            )
+        elif action == "hang up" and self.requests:
+            self.exchange.client_disconnected(self.requests[number % len(self.requests)])
+        elif action == "end" and self.in_flight:
+            attempt = self.in_flight.pop(number % len(self.in_flight))
             outcome = list(api.Outcome)[number % len(api.Outcome)]
             self.exchange.attempt_ended(
                 attempt, outcome, b"v" if outcome is api.Outcome.OK else None, {}
             )
-        elif what == "wait":
+        elif action == "wait":
             self.now += number / 400
             due = sorted((row for row in self.timers if row[0] <= self.now), key=lambda row: row[0])
             self.timers = [row for row in self.timers if row[0] > self.now]
-            for _, callback, (live, args) in due:
-                if live[0]:
+            for _, callback, (active, args) in due:
+                if active[0]:
                     callback(*args)
         exchange = self.exchange
         self.lines.append(
@@ -252,7 +261,7 @@
         )
 
 
-class Front:
+class ClientRequest:
     def __init__(self, script: Script, number: int) -> None:
         self.script, self.number, self.request_key = script, number, ""
 
@@ -271,14 +280,14 @@
     ),
     st.sampled_from([3, 50]),
 )
-def test_an_exchange_does_the_same_in_both_forms(
-    steps: list[tuple[str, int]], most_open: int
+def test_an_exchange_behaves_the_same_in_both_forms(
+    steps: list[tuple[str, int]], max_open: int
 ) -> None:
-    plain, fast = (Script(form, most_open) for form in forms())
-    for what, number in steps:
-        plain.step(what, number)
-        fast.step(what, number)
-    assert plain.lines == fast.lines
+    interpreted, compiled = (Script(form, max_open) for form in forms())
+    for action, number in steps:
+        interpreted.step(action, number)
+        compiled.step(action, number)
+    assert interpreted.lines == compiled.lines
 
 
 PIECES = st.sampled_from(
@@ -315,36 +324,36 @@
 
 @settings(max_examples=500, deadline=None)
 @given(st.lists(PIECES, max_size=8).map(b"".join), st.integers(0, 40))
-def test_a_codec_reads_the_same_in_both_forms(data: bytes, cut: int) -> None:
-    """What comes is cut in two at any place, as a peer may."""
-    found = []
+def test_codecs_decode_the_same_in_both_forms(data: bytes, cut: int) -> None:
+    """The input arrives in two reads, split at any position."""
+    results = []
     for form in forms():
         limits = form.resp_frames.ArrayLimits(8, 64, 256, True)
         parts: list[bytes | None] = []
-        config = into(form, read_settings(SETTINGS))
-        seen: Counter[str] = Counter()
+        config = to_form(form, read_settings(SETTINGS))
+        reasons: Counter[str] = Counter()
         rows = [
-            told(partial(form.resp_frames.find_array_end, data, 0, limits, parts)),
+            outcome_text(partial(form.resp_frames.find_array_end, data, 0, limits, parts)),
             str(parts),
         ]
-        for wire in (
+        for backend_protocol in (
             form.resp_backend_protocol.RespBackendProtocol(),
-            form.resp_resp3_backend_protocol.Resp3BackendProtocol(64, seen),
+            form.resp_resp3_backend_protocol.Resp3BackendProtocol(64, reasons),
         ):
             rows += [
-                told(partial(wire.receive_data, data[:cut])),
-                told(partial(wire.receive_data, data[cut:])),
+                outcome_text(partial(backend_protocol.receive_data, data[:cut])),
+                outcome_text(partial(backend_protocol.receive_data, data[cut:])),
             ]
         for make in (
             form.resp_client_protocol.make_client_protocol,
             form.resp_resp3_client_protocol.make_client_protocol,
         ):
-            talk = make(config)()
+            client_protocol = make(config)()
             rows += [
-                told(partial(talk.find_frame_end, data[:cut], 0)),
-                told(partial(talk.find_frame_end, data, 0)),
+                outcome_text(partial(client_protocol.find_frame_end, data[:cut], 0)),
+                outcome_text(partial(client_protocol.find_frame_end, data, 0)),
             ]
-            rows.append(told(partial(talk.decode_request, data)))
-        found.append((rows, seen))
-    assert found[0] == found[1]
-    assert not any("SystemError" in row for row in found[0][0])
+            rows.append(outcome_text(partial(client_protocol.decode_request, data)))
+        results.append((rows, reasons))
+    assert results[0] == results[1]
+    assert not any("SystemError" in row for row in results[0][0])
--- a/tests/twins.py
+++ b/tests/twins.py
@@ -1,4 +1,4 @@
-"""The compiled form of modules beside the interpreted one, in one process."""
+"""Loads the interpreted and the compiled form of the hot modules in one process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def policy_names(*modules: ModuleType) -> SimpleNamespace:
-    """The public names of several modules, as one namespace."""
+    """Returns the public names of several modules in one namespace."""
     return SimpleNamespace(
         **{
             name: value
@@ -26,20 +26,20 @@
 
 @functools.cache
 def forms() -> tuple[SimpleNamespace, SimpleNamespace]:
-    """The interpreted and the compiled modules, each by package and name: `form.core_exchange`.
+    """Returns the interpreted and the compiled modules, named like `form.core_exchange`.
 
-    Skips the test where nothing was compiled of these sources: `.ci/run` compiles first.
+    Skips the test if the current sources aren't compiled; `.ci/run` compiles them first.
     """
     return _load(None), _load("require")
 
 
 def _load(mode: str | None) -> SimpleNamespace:
-    """Imports all modules anew, in one form, and leaves those that the tests use in place."""
-    before = {
+    """Imports all modules again in one form, then restores the modules that the tests use."""
+    original = {
         name: module for name, module in sys.modules.items() if name.partition(".")[0] == "ingress"
     }
     finders = [finder for finder in sys.meta_path if isinstance(finder, CompiledModuleFinder)]
-    for name in before:
+    for name in original:
         del sys.modules[name]
     for finder in finders:
         sys.meta_path.remove(finder)
@@ -49,19 +49,19 @@
                 use(mode)
             except NotCompiledError as error:
                 pytest.skip(f"{error}: python -m ingress.compilation build")
-        found: dict[str, ModuleType] = {name: importlib.import_module(name) for name in MODULES}
+        loaded: dict[str, ModuleType] = {name: importlib.import_module(name) for name in MODULES}
     finally:
         sys.meta_path[:] = finders + [
             f for f in sys.meta_path if not isinstance(f, CompiledModuleFinder)
         ]
         for name in [name for name in sys.modules if name.partition(".")[0] == "ingress"]:
             del sys.modules[name]
-        sys.modules.update(before)
+        sys.modules.update(original)
     assert all(
-        (module.__file__ or "").endswith(".py") is (mode is None) for module in found.values()
+        (module.__file__ or "").endswith(".py") is (mode is None) for module in loaded.values()
     )
     form = SimpleNamespace(
-        **{name.partition(".")[2].replace(".", "_"): module for name, module in found.items()}
+        **{name.partition(".")[2].replace(".", "_"): module for name, module in loaded.items()}
     )
     form.policy = policy_names(form.policy_settings, form.policy_events, form.policy_actions)
     return form
