--- a/tests/golden_cases/__init__.py
+++ b/tests/golden_cases/__init__.py
@@ -1,4 +1,4 @@
-"""What leaves a process or is stored, built from fixed inputs; test_golden_bytes.py compares."""
+"""Builds the output and stored data of a process from fixed inputs, for test_golden_bytes.py."""
 
 from __future__ import annotations
 
--- a/tests/golden_cases/coordination.py
+++ b/tests/golden_cases/coordination.py
@@ -1,4 +1,4 @@
-"""Three instances that record submissions at one another: every message, and every decision."""
+"""Messages and decisions of three instances that replicate submissions to one another."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Instances without sockets; time goes on by steps, messages arrive within one."""
+    """Instances without sockets; time advances in steps, and messages arrive within one step."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -38,23 +38,23 @@
         self.run(2.0)
 
     def start(self, name: str, incarnation: int) -> Coordinator:
-        """A process that holds nothing yet."""
+        """Returns the coordinator of a newly started process without records."""
         return Coordinator(name, incarnation, INSTANCES, CoordinatorSettings(), self.now)
 
     def connect(self, name: str) -> None:
-        """Connections from and to this one are established."""
+        """Establishes the connections from and to this instance."""
         for other in [one for one in self.instances if one != name]:
             self.instances[name].on_connection_change(self.now, other, True)
             self.instances[other].on_connection_change(self.now, name, True)
 
     def kill(self, name: str) -> None:
-        """The process ends; its connections with it."""
+        """Ends the process and its connections."""
         del self.instances[name]
         for one in self.instances.values():
             one.on_connection_change(self.now, name, False)
 
     def run(self, seconds: float) -> None:
-        """So much time passes."""
+        """Advances the time by `seconds`."""
         for _ in range(round(seconds / STEP_S)):
             self.now = round(self.now + STEP_S, 6)
             for one in list(self.instances.values()):
@@ -62,8 +62,8 @@
             self.deliver()
 
     def deliver(self) -> None:
-        """All messages, and those that answer them; what was decided."""
-        waiting = deque(self.taken())
+        """Delivers all messages and the replies to them, and records the decisions."""
+        waiting = deque(self.drain_outgoing())
         while waiting:
             sender, receiver, message = waiting.popleft()
             data = msgspec.msgpack.encode(message)
@@ -71,35 +71,35 @@
             if receiver in self.instances:
                 read: HandoverMessage = msgspec.msgpack.decode(data, type=HandoverMessage)
                 self.instances[receiver].receive(self.now, sender, read)
-            waiting.extend(self.taken())
+            waiting.extend(self.drain_outgoing())
 
-    def taken(self) -> list[tuple[str, str, HandoverMessage]]:
-        """What each wants to send."""
-        found: list[tuple[str, str, HandoverMessage]] = []
+    def drain_outgoing(self) -> list[tuple[str, str, HandoverMessage]]:
+        """Returns the messages that each instance sends; records its decisions."""
+        outgoing: list[tuple[str, str, HandoverMessage]] = []
         for name, one in self.instances.items():
             out, decided = one.drain()
-            found += [(name, receiver, message) for receiver, message in out]
-            self.decisions += [[name, self.now, plain(list_of(each))] for each in decided]
-        return found
+            outgoing += [(name, receiver, message) for receiver, message in out]
+            self.decisions += [[name, self.now, plain(decision_fields(each))] for each in decided]
+        return outgoing
 
 
-def list_of(decision: Any) -> list[Any]:
-    """A decision with its verdict by name, as the counts have it; no end of time as text."""
+def decision_fields(decision: Any) -> list[Any]:
+    """Returns a decision with its verdict by name, as in the counts, and the end time as text."""
     number, verdict, value, wait, until = plain_fields(decision)
     return [number, REPORTED_VERDICTS[verdict], value, round(wait, 9), str(until)]
 
 
 def plain_fields(decision: Any) -> list[Any]:
-    """The fields of a slotted dataclass, in order."""
+    """Returns the values of a slotted dataclass's fields, in order."""
     return [getattr(decision, field) for field in decision.__dataclass_fields__]
 
 
 def coordination() -> dict[str, Any]:
-    """One submission is answered, one is lost with its owner, one is released; all are retried."""
+    """One submission completes, one is lost with its owner, one is released; all are retried."""
     fleet = Fleet()
-    name = [record_name(CUSTOMERS[0], "solution-submit", f"{number:016x}") for number in range(3)]
+    names = [record_name(CUSTOMERS[0], "solution-submit", f"{number:016x}") for number in range(3)]
     owner = fleet.instances["edge-1"]
-    opened = [owner.open(fleet.now, one, b"digest", b"call") for one in name]
+    opened = [owner.open(fleet.now, one, b"digest", b"call") for one in names]
     fleet.run(0.1)
     for number in opened[:2]:
         owner.sent(number)
@@ -108,20 +108,20 @@
     owner.ended(opened[2], RequestKind(RELEASE_QUESTION))
     fleet.run(0.1)
     busy = fleet.instances["edge-2"]
-    busy.open(fleet.now, name[1], b"digest")
+    busy.open(fleet.now, names[1], b"digest")
     fleet.run(0.2)
     fleet.kill("edge-1")
     fleet.run(1.0)
     successor = fleet.instances["edge-2"]
-    for one in name:
+    for one in names:
         successor.open(fleet.now, one, b"digest")
-    successor.open(fleet.now, name[0], b"another")
+    successor.open(fleet.now, names[0], b"another")
     fleet.run(0.2)
     fleet.instances["edge-1"] = fleet.start("edge-1", STARTED + 5000)
     fleet.connect("edge-1")
     fleet.run(1.0)
     fleet.run(4.0)
-    for one in name:
+    for one in names:
         fleet.instances["edge-3"].open(fleet.now, one, b"digest")
     fleet.run(0.2)
     return {
--- a/tests/golden_cases/derived.py
+++ b/tests/golden_cases/derived.py
@@ -1,4 +1,4 @@
-"""What all instances derive alike, without a message."""
+"""Values that all instances derive identically, without exchanging messages."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def derived() -> dict[str, Any]:
-    """Counter keys, shed ranks, places by rendezvous hashing and on the ring, translated keys."""
-    return plain_values(counters() | places() | translated_keys())
+    """Returns counter keys, shed ranks, rendezvous and ring positions, and translated keys."""
+    return plain_values(counters() | placements() | translated_keys())
 
 
 def counters() -> dict[str, Any]:
-    """Of customers and of consistency checks: counter keys, and shed ranks."""
+    """Returns the counter keys and shed ranks of customers and of consistency checks."""
     values: dict[str, Any] = {}
     for text in (*CUSTOMERS, "check 0", "check 1"):
         number = key_number(text)
@@ -44,8 +44,8 @@
     return values
 
 
-def places() -> dict[str, Any]:
-    """Which instances keep a record, probe a backend, or lie where on the ring."""
+def placements() -> dict[str, Any]:
+    """Returns the replicas of a record, the probers of a backend and its points on the ring."""
     values: dict[str, Any] = {}
     values["handover name"] = NAME
     values["digests"] = [body_digest(body) for body in (None, b"", b"a body")]
@@ -58,7 +58,7 @@
 
 
 def translated_keys() -> dict[str, Any]:
-    """Idempotency keys in the other protocol's form, and back."""
+    """Returns idempotency keys translated to the other protocol's form and back."""
     values: dict[str, Any] = {}
     for key in ("5c0f6e1a2b3d4c59", "5C0F6E1A2B3D4C59", "any other key"):
         for name in CUSTOMERS[:2]:
--- a/tests/golden_cases/gossip.py
+++ b/tests/golden_cases/gossip.py
@@ -29,7 +29,7 @@
 
 
 def membership_messages() -> dict[str, Message]:
-    """A message of each kind.  1 to 7 are the kinds on the wire, in the order of the protocol."""
+    """Returns a message of each kind; the kinds on the wire are 1 to 7."""
     report = msgspec.msgpack.encode(LOAD_REPORT)
     return {
         "ping": Message(1, "edge-1", 1, "", [MEMBER, SUSPECTED], [report]),
@@ -45,7 +45,10 @@
 
 
 def crowded_messages() -> dict[str, Message]:
-    """More than a datagram holds: reports give way first, then news, the latest given first."""
+    """Returns messages that exceed a datagram.
+
+    The codec drops load reports first, then membership updates, starting at the end of each list.
+    """
     short = [MemberUpdate(f"edge-{n}", "127.0.0.1", 7100 + n, 1, n) for n in range(24)]
     long = [MemberUpdate(f"{n:064}", "127.0.0.1", 7100 + n, 1, n) for n in range(24)]
     reports = [bytes([n]) * 90 for n in range(12)]
@@ -56,20 +59,20 @@
 
 
 def codec() -> Codec:
-    """Seals with one of two keys, and opens what either has sealed."""
+    """Returns a codec that encrypts with one of two keys and decrypts messages of either."""
     return Codec(KEYS, KEY_USED)
 
 
 def membership() -> dict[str, Any]:
-    """Sealed datagrams."""
+    """Returns encrypted datagrams."""
     messages = membership_messages() | crowded_messages()
-    sealed = {name: codec().encode(message) for name, message in messages.items()}
-    sealed["an older key"] = Codec(KEYS, 1).encode(Message(4, "edge-2", 8))
-    return plain_values(sealed)
+    encrypted = {name: codec().encode(message) for name, message in messages.items()}
+    encrypted["an older key"] = Codec(KEYS, 1).encode(Message(4, "edge-2", 8))
+    return plain_values(encrypted)
 
 
 class Conversation:
-    """SwimProtocol without sockets; every datagram that they send, in order."""
+    """Members that run SwimProtocol without sockets; records their datagrams in order."""
 
     def __init__(self, count: int) -> None:
         self.addresses = {f"edge-{n}": ("127.0.0.1", 7100 + n) for n in range(count)}
@@ -80,35 +83,35 @@
             )
             for name, at in self.addresses.items()
         }
-        self.gone: set[str] = set()
+        self.stopped: set[str] = set()
         self.datagrams: list[str] = []
 
-    def there(self) -> dict[str, SwimProtocol]:
-        """The members that run."""
-        return {name: one for name, one in self.members.items() if name not in self.gone}
+    def running_members(self) -> dict[str, SwimProtocol]:
+        """Returns the members that are running."""
+        return {name: one for name, one in self.members.items() if name not in self.stopped}
 
     def tick(self, now: float) -> None:
-        """Each member in turn, and all that follows from what it sends."""
-        for name, member in self.there().items():
+        """Ticks each member in turn and delivers its messages and all replies."""
+        for name, member in self.running_members().items():
             self.deliver(now, name, member.tick(now))
 
     def leave(self, now: float, name: str) -> None:
-        """This member leaves by plan."""
+        """Makes a member leave gracefully."""
         out = self.members[name].leave(now)
-        self.gone.add(name)
+        self.stopped.add(name)
         self.deliver(now, name, out)
 
     def deliver(
         self, now: float, source: str, out: Sequence[tuple[tuple[str, int], Message]]
     ) -> None:
-        """Seals, opens and hands over what `source` sends, then what is answered to it."""
+        """Encrypts, decrypts and delivers the messages of `source`, then the replies to them."""
         waiting = deque((source, address, message) for address, message in out)
         while waiting:
             sender, address, message = waiting.popleft()
             receiver = self.names[address]
             data = codec().encode(message)
             self.datagrams.append(f"{now:g} {sender}>{receiver} {data.hex()}")
-            if receiver not in self.gone:
+            if receiver not in self.stopped:
                 answers = self.members[receiver].receive(
                     now, self.addresses[sender], codec().decode(data)
                 )
@@ -116,16 +119,18 @@
 
 
 def conversation() -> dict[str, Any]:
-    """The datagrams of four members in 12 s: they find each other, one dies, one leaves."""
+    """Records the datagrams of four members in 12 s: they join, one crashes, one leaves."""
     fleet = Conversation(4)
     for tick in range(1, 121):
         if tick == 40:
-            fleet.gone.add("edge-3")
+            fleet.stopped.add("edge-3")
         if tick == 100:
             fleet.leave(tick / 10, "edge-2")
         fleet.tick(tick / 10)
-    reachable = {name: sorted(one.reachable_names()) for name, one in fleet.there().items()}
-    # The first ones whole, so that a difference can be read; of all, in order, a checksum.
+    reachable = {
+        name: sorted(one.reachable_names()) for name, one in fleet.running_members().items()
+    }
+    # The first datagrams in full, so that a difference is readable; a checksum of all, in order.
     return {
         "first": fleet.datagrams[:12],
         "count": len(fleet.datagrams),
@@ -139,7 +144,7 @@
 
 
 def load_reports() -> dict[str, Any]:
-    """What one instance passes on: its own report, and one that it heard."""
+    """Returns the load reports that an instance forwards: its own and a received one."""
     reports = LoadReports("edge-1", 77, "hall-a")
     reports.record_own(100.0, 1234.56789, 1000.0004, 0.33333)
     reports.record_own(101.0, 99.99951, 0.0, 1.0)
@@ -157,7 +162,7 @@
 
 
 def health_observations() -> dict[str, Any]:
-    """What one instance passes on of two that it heard."""
+    """Returns the health observations that an instance forwards after it received two."""
     gossip = HealthGossip("edge-1", "hall-a", 77)
     gossip.merge(50.0, OBSERVATION)
     gossip.merge(50.25, RECOVERED)
--- a/tests/golden_cases/handover.py
+++ b/tests/golden_cases/handover.py
@@ -1,4 +1,4 @@
-"""Handover messages, stored records and the frames between instances."""
+"""Handover messages, stored records and frames between instances."""
 
 from __future__ import annotations
 
@@ -47,18 +47,18 @@
 
 
 def handover_messages() -> dict[str, HandoverMessage]:
-    """Each tag, with each number that the wire has for what is asked and answered."""
-    asked: dict[str, HandoverMessage] = {
-        f"question {ask}": ReplicaRequest(
-            ask, NAME, 1_760_000_000_123, 17, DIGEST, b"call", b"value"
+    """Returns messages of each type, with each request kind and reply code of the protocol."""
+    requests: dict[str, HandoverMessage] = {
+        f"question {kind}": ReplicaRequest(
+            kind, NAME, 1_760_000_000_123, 17, DIGEST, b"call", b"value"
         )
-        for ask in sorted(RequestKind)
+        for kind in sorted(RequestKind)
     }
-    answered: dict[str, HandoverMessage] = {
-        f"reply {word}": ReplicaReply(word, NAME, 5, 17, 2, 0.25, b"value", 99)
-        for word in sorted(ReplyCode)
+    replies: dict[str, HandoverMessage] = {
+        f"reply {code}": ReplicaReply(code, NAME, 5, 17, 2, 0.25, b"value", 99)
+        for code in sorted(ReplyCode)
     }
-    return asked | answered | {
+    return requests | replies | {
         "hello": Heartbeat(1, 5, b"diskdisk", 12, True, 6, b"olderdsk", 11),
         "first hello": Heartbeat(1, 5),
         "learn": SyncRequest(3),
@@ -68,71 +68,71 @@
     }  # fmt: skip
 
 
-def opened_handover_message(data: bytes) -> HandoverMessage:
-    """Reads one alone, as the peer connections read each of a frame."""
+def decode_handover_message(data: bytes) -> HandoverMessage:
+    """Decodes one message, as a peer connection decodes each message of a frame."""
     message: HandoverMessage = msgspec.msgpack.decode(data, type=HandoverMessage)
     return message
 
 
 def encoded_messages() -> dict[str, Any]:
-    """Each message, as it stands in a frame."""
+    """Returns each message encoded as in a frame."""
     return plain_values(
         {name: msgspec.msgpack.encode(message) for name, message in handover_messages().items()}
     )
 
 
 def records() -> dict[str, Record]:
-    """A stored record in each phase, and one with its answer."""
+    """Returns a stored record in each phase, and one that holds its response."""
     holder = Grant("edge-2", 1_760_000_000_123, 17)
     before = Grant("edge-1", 5, 3)
-    found = {
+    phases = {
         f"phase {phase.value}": Record(
             phase, holder, DIGEST, 100.5, 101.25, Phase(0), before, b"call", b""
         )
         for phase in Phase
     }
-    found["answered"] = Record(
+    phases["answered"] = Record(
         Phase(4), holder, DIGEST, 100.5, 101.25, Phase(2), Grant("", 0, 0), b"", b"value"
     )
-    return found
+    return phases
 
 
 def record_rows() -> dict[str, Any]:
-    """Records as rows of a store."""
+    """Returns the records encoded as values of a store."""
     return plain_values({name: pack_record(record) for name, record in records().items()})
 
 
 def stored_calls() -> dict[str, Any]:
-    """What of a call is stored for a successor."""
+    """Returns the stored part of a call, which a successor continues from."""
     return plain_values({"submission": encode_call(CALL), "read": encode_call(READ_CALL)})
 
 
 async def _peer_frames() -> dict[str, Any]:
     with fixed_random_bytes():
         link = PeerLink(KEYS, KEY_USED)
-        forth = RecordingTransport()
-        back = RecordingTransport()
-        link.dialed.connection_made(forth)  # type: ignore[arg-type]
-        link.accepted.connection_made(back)  # type: ignore[arg-type]
-        assert forth.data.startswith(MAGIC)
-        assert back.data.startswith(MAGIC)
-        frames = {"dials": forth.data, "accepts": back.data}
-        link.dialed.data_received(back.data)
+        dialed_transport = RecordingTransport()
+        accepted_transport = RecordingTransport()
+        link.dialed.connection_made(dialed_transport)  # type: ignore[arg-type]
+        link.accepted.connection_made(accepted_transport)  # type: ignore[arg-type]
+        assert dialed_transport.data.startswith(MAGIC)
+        assert accepted_transport.data.startswith(MAGIC)
+        frames = {"dials": dialed_transport.data, "accepts": accepted_transport.data}
+        link.dialed.data_received(accepted_transport.data)
         groups: dict[str, list[HandoverMessage]] = {
             "one message": [Heartbeat(1, 5)],
             "all messages": list(handover_messages().values()),
             "the same again": [Heartbeat(1, 5)],
         }
         for name, messages in groups.items():
-            before = len(forth.data)
+            before = len(dialed_transport.data)
             link.send(messages)
-            frames[name] = forth.data[before:]
-    link.accepted.data_received(forth.data)
-    heard = [Heartbeat(1, 5), *handover_messages().values(), Heartbeat(1, 5)]
-    assert link.heard == [("edge-1", message) for message in heard]
+            frames[name] = dialed_transport.data[before:]
+    link.accepted.data_received(dialed_transport.data)
+    expected = [Heartbeat(1, 5), *handover_messages().values(), Heartbeat(1, 5)]
+    assert link.received == [("edge-1", message) for message in expected]
     return plain_values(frames)
 
 
 def peer_frames() -> dict[str, Any]:
-    """A connection between two instances: what each side sends first, then sealed frames."""
+    """Returns the first bytes of each side of a peer connection, then encrypted frames."""
     return asyncio.run(_peer_frames())
--- a/tests/golden_cases/names.py
+++ b/tests/golden_cases/names.py
@@ -1,7 +1,7 @@
-"""The program's names that the golden cases use, and nothing else of the program.
+"""All names of the program that the golden cases use.
 
-A renamed class, module or field changes this file alone: the cases pass arguments by position and
-read values without their names.
+Renaming a class, module or field of the program changes only this file: the cases pass arguments by
+position and read values without field names.
 """
 
 from __future__ import annotations
@@ -178,7 +178,7 @@
     "write_ahead_log",
 ]
 
-# Values that have another name in the settings.
+# Enum values that have another name in the settings.
 SETTINGS_NAMES: Mapping[object, str] = {
     RetrySemantics.IDEMPOTENT: "safe",
     RetrySemantics.IDEMPOTENCY_KEY: "keyed",
@@ -186,44 +186,44 @@
 }
 ENDED_WITH_ERROR = Outcome.ERROR
 NEVER_WRITTEN = Outcome.SUPERSEDED
-# Of write_ahead_log: bytes of changes until a snapshot takes their place.
+# Constant of write_ahead_log: bytes of changes after which a snapshot replaces them.
 LOG_LIMIT = "MAX_LOG_BYTES"
 
 
 class PeerLink:
-    """One direction between two instances, without sockets: what one writes, the other hears."""
+    """One direction of a connection between two instances, without sockets."""
 
     def __init__(self, keys: Mapping[int, bytes], used: int) -> None:
         address = ("127.0.0.1", 0)
-        self.heard: list[tuple[str, Any]] = []
+        self.received: list[tuple[str, Any]] = []
         self.dialing = PeerConnections(
-            "edge-1", address, {"edge-2": address}, keys, used, self._nothing, self._nothing
+            "edge-1", address, {"edge-2": address}, keys, used, self._ignore, self._ignore
         )
         self.accepting = PeerConnections(
-            "edge-2", address, {"edge-1": address}, keys, used, self._hear, self._nothing
+            "edge-2", address, {"edge-1": address}, keys, used, self._receive, self._ignore
         )
         self.dialed = self.dialing.outbound["edge-2"]
         self.accepted = InboundConnection(self.accepting)
 
-    def _nothing(self, *_unused: Any) -> None: ...
+    def _ignore(self, *_unused: Any) -> None: ...
 
-    def _hear(self, sender: str, message: Any) -> None:
-        self.heard.append((sender, message))
+    def _receive(self, sender: str, message: Any) -> None:
+        self.received.append((sender, message))
 
     def send(self, messages: list[Any]) -> None:
-        """Sends the messages, as many in one frame as go into one."""
+        """Sends the messages, with as many in one frame as fit."""
         for message in messages:
             self.dialing.send("edge-2", message)
         self.dialed.flush()
 
 
 def due_check_keys(checks: CounterConsistency, now: float) -> tuple[list[int], float]:
-    """The counter keys to which a consistency check adds now, and the pause until the next ones."""
+    """Returns the counter keys that a consistency check adds to now, and seconds until the next ones."""
     return checks.due_calls(now)
 
 
 def endpoints_changed(
     placement: Placement, entries: list[tuple[str, Backend]], is_full: bool, now: float
 ) -> None:
-    """Gives a placement the endpoint list, or what changed of it."""
+    """Passes a full endpoint list, or the changes of one, to a placement."""
     placement.endpoints_changed(entries, is_full, now)
--- a/tests/golden_cases/plain.py
+++ b/tests/golden_cases/plain.py
@@ -1,4 +1,4 @@
-"""Values without the program's names, and fixed inputs that several cases share."""
+"""Conversion of values to JSON without field names, and fixed inputs that several cases share."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON can hold it: fields in order, without names; bytes as hex digits."""
+    """Returns a value as JSON can store it: fields in order, without names; bytes as hex digits."""
     match value:
         case Enum():
             return SETTINGS_NAMES.get(value, plain(value.value))
@@ -48,7 +48,7 @@
 
 
 def shape(value: Any) -> Any:
-    """The keys and the types of a report; of a list, those of its first item."""
+    """Returns the keys and types of a report; for a list, those of its first item."""
     if isinstance(value, Mapping):
         return {key: shape(item) for key, item in value.items()}
     if isinstance(value, tuple | list):
@@ -58,35 +58,35 @@
 
 @contextmanager
 def fixed_random_bytes() -> Iterator[None]:
-    """os.urandom from a seed, so that what is drawn from it can be compared."""
+    """Replaces os.urandom with a seeded generator, so that its output is reproducible."""
     with patch.object(os, "urandom", Random(3).randbytes):
         yield
 
 
 class RecordingTransport:
-    """A transport that keeps what is written to it."""
+    """Transport that stores the written data."""
 
     def __init__(self) -> None:
         self.data = b""
 
     def write(self, data: bytes) -> None:
-        """Keeps the data."""
+        """Appends the data."""
         self.data += data
 
     def get_write_buffer_size(self) -> int:
-        """Returns 0: all of it was sent."""
+        """Returns 0, as if all data was sent."""
         return 0
 
     def abort(self) -> None:
-        """Fails the test: nothing here may end the connection."""
-        raise AssertionError("the connection was given up")
+        """Fails the test: the connection must not be aborted."""
+        raise AssertionError("the connection was aborted")
 
 
 def checksum(data: bytes) -> str:
-    """128 bits of BLAKE2b as hex digits."""
+    """Returns 128 bits of BLAKE2b as hex digits."""
     return blake2b(data, digest_size=16).hexdigest()
 
 
 def plain_values(values: Mapping[str, Any]) -> dict[str, Any]:
-    """Each case's value as JSON can hold it."""
+    """Returns each case's value as JSON can store it."""
     return {name: plain(value) for name, value in values.items()}
--- a/tests/golden_cases/protocols.py
+++ b/tests/golden_cases/protocols.py
@@ -1,4 +1,4 @@
-"""Requests and responses of each protocol, both directions."""
+"""Requests and responses of each protocol, as encoded and as decoded."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def settings() -> Settings:
-    """Those of the configuration beside the golden files."""
+    """Returns the settings of the configuration file in the golden folder."""
     return read_config((FOLDER / "edge_config.json").read_text("utf-8")).settings
 
 
 def command(*words: bytes) -> bytes:
-    """An array of bulk strings."""
+    """Returns an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
@@ -79,7 +79,7 @@
 
 
 def http(line: str, *fields: str, body: bytes = b"") -> bytes:
-    """A request of HTTP/1.1."""
+    """Returns an HTTP/1.1 request."""
     length = [f"Content-Length: {len(body)}"] if body else []
     return "\r\n".join([line, "Host: grid.internal", *fields, *length, "", ""]).encode() + body
 
@@ -134,41 +134,41 @@
 }
 
 
-def understood(protocol: ClientProtocol, data: bytes) -> Any:
-    """What a client's bytes come to: a call, an answer at once, or the answer to an error."""
+def decode_result(protocol: ClientProtocol, data: bytes) -> Any:
+    """Returns the result of decoding a client's bytes: a call, a reply or an error reply."""
     try:
-        half = protocol.find_frame_end(data[: len(data) // 2], 0)
-        prompt = protocol.interim_response()
+        end_in_half = protocol.find_frame_end(data[: len(data) // 2], 0)
+        interim = protocol.interim_response()
         end = protocol.find_frame_end(data, 0)
         call = protocol.decode_request(data[:end])
     except InvalidCallError as invalid:
         return ["invalid", plain(protocol.encode_error(str(invalid)))]
     except MalformedFrameError as malformed:
         return ["malformed", plain(protocol.encode_error(str(malformed), True))]
-    return [half, plain(prompt), end, plain(call), protocol.close_requested]
+    return [end_in_half, plain(interim), end, plain(call), protocol.close_requested]
 
 
 def client_side(name: str) -> dict[str, Any]:
-    """Requests as one protocol understands them, and responses as it writes them."""
+    """Returns decoded requests and encoded responses of one client protocol."""
     make, requests = CLIENT_PROTOCOLS[name]
     factory = make(settings())
     upgraded = factory()
-    found: dict[str, Any] = {}
+    results: dict[str, Any] = {}
     for case, data in requests.items():
         protocol = upgraded if case.startswith("hello 3") else factory()
-        found[case] = understood(protocol, data)
+        results[case] = decode_result(protocol, data)
     for case, response in RESPONSES.items():
-        found[f"told {case}"] = plain(factory().encode_response(CALL, response))
+        results[f"told {case}"] = plain(factory().encode_response(CALL, response))
         if name == "RESP3":
-            found[f"upgraded, told {case}"] = plain(upgraded.encode_response(CALL, response))
-    return found
+            results[f"upgraded, told {case}"] = plain(upgraded.encode_response(CALL, response))
+    return results
 
 
 LOAD = b"active=3,waiting=1,cpu=0.5,avg_ms=12.5,rps=40,err_rps=0"
 
 
 def blob(text: bytes, mark: bytes = b"$") -> bytes:
-    """A bulk string, or a blob error with the mark of one."""
+    """Returns a bulk string, or a blob error if `mark` is that of one."""
     return b"%b%d\r\n%b\r\n" % (mark, len(text), text)
 
 
@@ -200,13 +200,13 @@
 
 
 def http_answer(status: str, body: bytes, kind: str = "application/problem+json") -> bytes:
-    """A response of HTTP/1.1."""
+    """Returns an HTTP/1.1 response."""
     head = f"HTTP/1.1 {status}\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 def problem(name: str) -> bytes:
-    """Problem details (RFC 9457) of that type."""
+    """Returns problem details (RFC 9457) with the given type."""
     return b'{"type": "urn:grid:problem:%b"}' % name.encode()
 
 
@@ -232,7 +232,7 @@
 
 
 def backend_protocol(name: str, reasons: Counter[str]) -> BackendProtocol:
-    """A connection to a backend; `reasons` counts answers that were no plain ones."""
+    """Returns the protocol of a backend connection; `reasons` counts unusual responses."""
     if name == "RESP2":
         return RespBackendProtocol()
     if name == "RESP3":
@@ -241,7 +241,7 @@
 
 
 def result_of(name: str, data: bytes) -> Any:
-    """What a backend's bytes come to: first half, second half, the end; and the reasons."""
+    """Returns the results of the first half, the second half and EOF, and the counted reasons."""
     reasons = Counter[str]()
     protocol = backend_protocol(name, reasons)
     protocol.encode_request(CALL, 1.5)
@@ -258,24 +258,26 @@
 
 
 def calls() -> dict[str, Call]:
-    """Calls that no protocol made, and such as each protocol makes."""
-    found = {"write": CALL, "read": READ_CALL}
+    """Returns calls built by hand, and calls decoded by each protocol."""
+    results = {"write": CALL, "read": READ_CALL}
     for name, (make, requests) in CLIENT_PROTOCOLS.items():
         for case in ("read", "write"):
             protocol = make(settings())()
             protocol.find_frame_end(requests[case], 0)
             call = protocol.decode_request(requests[case])
             assert isinstance(call, Call)
-            found[f"{name} {case}"] = call
-    return found
+            results[f"{name} {case}"] = call
+    return results
 
 
 def backend_side(name: str) -> dict[str, Any]:
-    """Calls as one protocol writes them to a backend, and answers as it understands them."""
-    found: dict[str, Any] = {}
+    """Returns encoded calls and decoded responses of one backend protocol."""
+    results: dict[str, Any] = {}
     for case, call in calls().items():
         protocol = backend_protocol(name, Counter())
-        found[f"sends {case}"] = plain([protocol.encode_request(call, left) for left in (1.5, 0.0)])
+        results[f"sends {case}"] = plain(
+            [protocol.encode_request(call, remaining) for remaining in (1.5, 0.0)]
+        )
     for case, data in BACKEND_ANSWERS[name].items():
-        found[f"hears {case}"] = result_of(name, data)
-    return found
+        results[f"hears {case}"] = result_of(name, data)
+    return results
--- a/tests/golden_cases/reports.py
+++ b/tests/golden_cases/reports.py
@@ -1,4 +1,4 @@
-"""The platform's lists and configuration, and what the program and its tools report."""
+"""The platform's endpoint lists and configuration, and the reports of the program and tools."""
 
 from __future__ import annotations
 
@@ -61,12 +61,12 @@
 
 
 def counter_lines() -> dict[str, Any]:
-    """Each call to the counter as a line, and what its answer came to."""
+    """Returns each call to the counter as a line, and the reply as decoded."""
     return {"calls and replies": asyncio.run(asyncio.wait_for(_counter_lines(), 20.0))}
 
 
 def endpoint_lists() -> dict[str, Any]:
-    """Answers of discovery; an entry that makes no sense is left out."""
+    """Returns decoded responses of discovery; invalid entries are omitted."""
     rows = [
         {"id": "s1", "addr": "127.0.0.1:6379", "state": "ready"},
         {"id": "s2", "addr": "h.x:65535", "state": "draining", "zone": "a", "kind": "grid-v2",
@@ -79,7 +79,7 @@
         {"addr": "h:1", "state": "ready"},
         7,
     ]  # fmt: skip
-    found = {}
+    results = {}
     for name, body in {
         "whole": {"version": 5, "full": True, "servers": rows},
         "changes": {"version": 6, "servers": rows[1:2]},
@@ -88,14 +88,14 @@
         "no list": {"version": 1},
     }.items():
         try:
-            found[name] = plain(read_endpoint_list(body))
+            results[name] = plain(read_endpoint_list(body))
         except ValueError:
-            found[name] = "no list"
-    return found
+            results[name] = "no list"
+    return results
 
 
 def configuration() -> dict[str, Any]:
-    """EDGE_CONFIG as it is understood."""
+    """Returns the configuration as read from EDGE_CONFIG."""
     text = (FOLDER / "edge_config.json").read_text("utf-8")
     less = json.loads(text) | {"limits": {"memory_mb": 64, "sockets": 256}}
     return plain_values({"config": read_config(text), "less": read_config(json.dumps(less))})
@@ -143,7 +143,7 @@
 
 
 def store_of_records(folder: Path) -> None:
-    """The store of an instance that held a record in each phase."""
+    """Writes the store of an instance that held a record in each phase."""
     store = Store(OsFileSystem(folder), "edge-1")
     for number, record in enumerate(records().values()):
         store.put(bytes([number]) * 16, pack_record(record))
@@ -151,7 +151,7 @@
 
 
 def handover_command() -> dict[str, Any]:
-    """What `python -m ingress.handover show --json` prints of a store."""
+    """Returns the records that `python -m ingress.handover show --json` prints for a store."""
     with TemporaryDirectory() as name:
         store_of_records(Path(name))
         found = read_store(OsFileSystem(Path(name)), "edge-1")
@@ -159,12 +159,12 @@
 
 
 def counts() -> dict[str, Any]:
-    """What SIGUSR1 prints: keys in their order, and types."""
+    """Returns the keys, in order, and the types of the counts that SIGUSR1 prints."""
     return asyncio.run(_counts())
 
 
-def observed(world: TestbedWorld) -> None:
-    """Two tries of clients, the first of which is served by one backend, the second rejected."""
+def record_two_tries(world: TestbedWorld) -> None:
+    """Records two tries of clients: a backend serves the first, the second is rejected."""
     served = Try("r1", CUSTOMERS[0], "base", "grid-fetch", "", 1.0, 0, 1.0, 2.0, True, 0)
     served.kind = "served"
     served.answered = 1.1
@@ -187,18 +187,21 @@
 async def _testbed() -> dict[str, Any]:
     with TemporaryDirectory() as name:
         world = TestbedWorld(Scenario("golden", 10.0, 3, Deployment()), Path(name), "true", 1)
-        observed(world)
+        record_two_tries(world)
         figures, _ = testbed_report(world)
         return {"values": figures, "shape": shape(figures)}
 
 
 def testbed_figures() -> dict[str, Any]:
-    """The testbed's --json of a run whose record is made by hand: two tries, one of them served."""
+    """Returns the testbed's --json for a handmade record of two tries, one of them served."""
     return asyncio.run(_testbed())
 
 
 def simulation_figures() -> dict[str, Any]:
-    """The real policy in virtual time, with and without gossip; a run of the model checker."""
+    """Returns figures of the real policy in virtual time and a run of the model checker.
+
+    The policy runs with and without gossip.
+    """
     size = Size(8, 6, 2, 8.0, 1.6)
     alone = SimulatedWorld(size, SCENARIOS["herd"], 11, policy_gateways())
     gossiping = SimulatedWorld(size, SCENARIOS["zone"], 12, gossiping_gateways())
@@ -210,7 +213,7 @@
 
 
 def version_pairs() -> dict[str, Any]:
-    """Of each pair of protocol versions: what becomes of each feature of its table, in order."""
+    """Returns the fate of each feature, in table order, for each pair of protocol versions."""
     versions = protocol_versions()
     return {
         f"{client} {backend}": plain(
--- a/tests/golden_cases/simulator.py
+++ b/tests/golden_cases/simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: lines that the adapter answers, each action answered by the next lines."""
+"""Simulator protocol: runs the adapter against a script that responds to its actions."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Script:
-    """Writes batches of lines; what the adapter answers decides what comes next, and when."""
+    """Writes batches of lines; the adapter's actions determine later lines and their times."""
 
     def __init__(self) -> None:
         self.sink = io.StringIO()
@@ -41,7 +41,7 @@
         self.due: list[tuple[float, int, dict[str, Any]]] = []
 
     def batch(self, *messages: dict[str, Any]) -> Iterator[str]:
-        """One batch, a little later than the one before: what is due by then, and `messages`."""
+        """Yields a batch, `STEP_S` after the previous one: the lines due by then and `messages`."""
         self._read_actions()
         self.time = round(self.time + STEP_S, 3)
         yield json.dumps({"m": "BeginBatch", "ts-s": self.time})
@@ -56,26 +56,26 @@
         written = self.sink.read()
         for line in written.splitlines():
             self.read_up_to += len(line) + 1
-            self._answer(json.loads(line))
+            self._respond(json.loads(line))
 
-    def _later(self, delay_s: float, message: dict[str, Any]) -> None:
-        order = self.read_up_to  # of the action, so that two at one time keep their order
+    def _schedule(self, delay_s: float, message: dict[str, Any]) -> None:
+        order = self.read_up_to  # position of the action; keeps the order of simultaneous events
         heapq.heappush(self.due, (self.time + delay_s, order, message | {"ingress": 0}))
 
-    def _answer(self, action: dict[str, Any]) -> None:
+    def _respond(self, action: dict[str, Any]) -> None:
         match action["m"]:
             case "CallOut":
-                self._later(0.04, self._result(action))
+                self._schedule(0.04, self._result(action))
             case "Remind":
-                self._later(action["after-s"], {"m": "Wake", "token": action["token"]})
+                self._schedule(action["after-s"], {"m": "Wake", "token": action["token"]})
             case "Inspect":
                 probe = {"backend": action["backend"], "rc": "completed", "latency-s": 0.01}
-                self._later(0.01, {"m": "HealthResult", "telemetry": LOAD} | probe)
+                self._schedule(0.01, {"m": "HealthResult", "telemetry": LOAD} | probe)
             case "Tally":
                 self.totals[action["name"]] += action["add"]
                 level = self.totals[action["name"]]
                 reply = {"name": action["name"], "rc": "completed", "level": level}
-                self._later(0.002, {"m": "CounterReply", "latency-s": 0.002} | reply)
+                self._schedule(0.002, {"m": "CounterReply", "latency-s": 0.002} | reply)
 
     def _result(self, action: dict[str, Any]) -> dict[str, Any]:
         self.attempts += 1
@@ -89,7 +89,7 @@
         return {"m": "Result", "telemetry": LOAD} | result | end
 
     def lines(self) -> Iterator[str]:
-        """A start, lists, requests one after another, a client that goes, and the end."""
+        """Yields a start, endpoint lists, requests, a client's disconnect and the end."""
         env = json.loads((FOLDER / "edge_config.json").read_text("utf-8"))["settings"]
         yield from self.batch(
             {"m": "Start", "ingress": 0, "nonce64": 7, "env": env},
@@ -108,7 +108,7 @@
 
 
 def request(number: int) -> dict[str, Any]:
-    """Reads and submissions of twenty customers, in turn."""
+    """Returns a request of one of twenty customers; every third one is a submission."""
     write = number % 3 == 2
     return {
         "m": "Ingress", "ingress": 0, "rid": f"r{number}",
@@ -120,7 +120,7 @@
 
 
 def simulator_lines() -> dict[str, Any]:
-    """The lines that answer the script: how many of each kind, the first ones, a checksum."""
+    """Returns the adapter's lines: the number of each kind, the first, the last and a checksum."""
     script = Script()
     serve_simulator(script.lines(), script.sink)
     lines = script.sink.getvalue().splitlines()
--- a/tests/golden_cases/store.py
+++ b/tests/golden_cases/store.py
@@ -1,4 +1,4 @@
-"""Folders of the write-ahead log."""
+"""Store folders of the write-ahead log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def write_two_generations(folder: Path) -> None:
-    """A store that is closed, opened again and changed."""
+    """Writes a store that is closed, opened again and changed."""
     store = Store(OsFileSystem(folder), "edge-1")
     for number in range(4):
         store.put(b"k%d" % number, b"v%d" % number)
@@ -31,7 +31,7 @@
 
 
 def write_compacted(folder: Path) -> None:
-    """A store whose log grew until a snapshot took its place, and went on."""
+    """Writes a store whose log grows until a snapshot replaces it, then more changes."""
     with patch.object(write_ahead_log, LOG_LIMIT, 400):
         store = Store(OsFileSystem(folder), "edge-1")
         for number in range(9):
@@ -45,17 +45,17 @@
 
 
 def write_store(name: str, folder: Path) -> None:
-    """What the program writes into a folder; each opening begins a file of its own."""
+    """Writes the named store to a folder; each opening of a store starts a new file."""
     with fixed_random_bytes():
         {"two_generations": write_two_generations, "compacted": write_compacted}[name](folder)
 
 
 def files_of(folder: Path) -> dict[str, str]:
-    """The bytes of each file, but for the lock, as hex digits."""
+    """Returns the bytes of each file except the lock, as hex digits."""
     return {path.name: path.read_bytes().hex() for path in folder.iterdir() if path.name != "lock"}
 
 
-def opened_store(folder: Path) -> tuple[dict[bytes, bytes], int, list[str], bytes]:
-    """The rows, the position, the faults and the store's own identity, read without a change."""
+def read_contents(folder: Path) -> tuple[dict[bytes, bytes], int, list[str], bytes]:
+    """Returns the rows, position, faults and identity of a store, read without changing it."""
     found = read_store(OsFileSystem(folder), "edge-1")
     return found.entries, found.position, found.faults, found.store_id
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""The list of known failures: exactly its tests may fail, and each of its tests exists."""
+"""Tests that only the listed known failures may fail, and that each listed test exists."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     )
 
 
-def sample_run(folder: Path, body: str) -> subprocess.CompletedProcess[str]:
+def run_sample(folder: Path, body: str) -> subprocess.CompletedProcess[str]:
     (folder / "conftest.py").write_text(SUITE, encoding="utf-8")
     (folder / "test_sample.py").write_text(body, encoding="utf-8")
     return run_pytest("--rootdir", str(folder), "test_sample.py", folder=folder)
@@ -50,36 +50,38 @@
 
 def test_each_entry_names_a_test_that_exists() -> None:
     for entry in read_known_failures():
-        found = run_pytest("--collect-only", entry.test)
-        assert found.returncode == 0, f"KNOWN-RED.txt: {entry.test}: no such test\n{found.stdout}"
+        collected = run_pytest("--collect-only", entry.test)
+        assert collected.returncode == 0, (
+            f"KNOWN-RED.txt: {entry.test}: no such test\n{collected.stdout}"
+        )
 
 
-def test_a_listed_failure_is_run_printed_and_passed_over(tmp_path: Path) -> None:
-    done = sample_run(tmp_path, "def test_listed():\n    assert False\n")
-    assert done.returncode == 0
-    assert "KNOWN-RED test_sample.py::test_listed: failed, as known" in done.stdout
+def test_a_listed_failure_is_printed_and_does_not_fail_the_run(tmp_path: Path) -> None:
+    completed = run_sample(tmp_path, "def test_listed():\n    assert False\n")
+    assert completed.returncode == 0
+    assert "KNOWN-RED test_sample.py::test_listed: failed, as known" in completed.stdout
 
 
 def test_a_listed_test_that_passes_is_printed(tmp_path: Path) -> None:
-    done = sample_run(tmp_path, "def test_listed():\n    pass\n")
-    assert done.returncode == 0
-    assert "KNOWN-RED test_sample.py::test_listed: passed this time" in done.stdout
+    completed = run_sample(tmp_path, "def test_listed():\n    pass\n")
+    assert completed.returncode == 0
+    assert "KNOWN-RED test_sample.py::test_listed: passed this time" in completed.stdout
 
 
 def test_a_failure_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
     body = "def test_listed():\n    assert False\n\ndef test_other():\n    assert False\n"
-    done = sample_run(tmp_path, body)
-    assert done.returncode == 1
-    assert "FAILED test_sample.py::test_other" in done.stdout
+    completed = run_sample(tmp_path, body)
+    assert completed.returncode == 1
+    assert "FAILED test_sample.py::test_other" in completed.stdout
 
 
-def test_an_entry_holds_test_command_seen_and_issue() -> None:
+def test_an_entry_consists_of_test_command_seen_and_issue() -> None:
     expected = KnownFailure("tests/test_x.py::test_y", "pytest", "it failed", "7")
     assert parse_known_failures(f"# words\n\n{ENTRY}\n{ENTRY}") == (expected, expected)
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         (ENTRY.replace("issue: 7\n", ""), "issue missing"),
         (ENTRY + "issue: 8\n", "'issue: 8'"),
@@ -87,6 +89,6 @@
         (ENTRY.replace("it failed", " "), "'seen:  '"),
     ],
 )
-def test_an_entry_that_is_not_whole_is_refused(text: str, words: str) -> None:
-    with pytest.raises(KnownFailuresError, match=words):
+def test_an_incomplete_or_invalid_entry_is_rejected(text: str, message: str) -> None:
+    with pytest.raises(KnownFailuresError, match=message):
         parse_known_failures(text)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Tests that the README's example runs as printed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 README = Path(__file__).resolve().parent.parent / "README.md"
 
 
-def test_the_example_runs() -> None:
+def test_the_readme_example_runs() -> None:
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
     assert len(blocks) == 1
     names: dict[str, object] = {}
