--- a/tests/golden_cases/names.py
+++ b/tests/golden_cases/names.py
@@ -218,7 +218,7 @@
 
 
 def due_check_keys(checks: CounterConsistency, now: float) -> tuple[list[int], float]:
-    """Returns the counter keys that a consistency check adds to now, and seconds until the next ones."""
+    """Returns the counter keys that a check adds to now, and the delay until the next ones."""
     return checks.due_calls(now)
 
 
