--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that are no tests: run by hand, results in docs/."""
+"""Measurements that are run by hand, not as tests; docs/ has the results."""
--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -1,10 +1,10 @@
-"""Two commits side by side in one run: CPU per request and latency of one ingress, in interleaved rounds.
+"""Compares CPU per request and latency of one ingress at two commits, in interleaved rounds.
 
 Example: python -m benchmarks.compare HEAD~5 HEAD --rounds 12
 
-Each round plays the same calm seconds against a fresh ingress of the one commit and then of the other (the
-order changes from round to round), so that what drifts on the machine strikes both.  Only the ratios, round
-by round, are meant to be compared; their median is the result.
+Each round plays the same steady load against a new ingress process of each commit.  The order alternates
+between rounds, so that drift of the machine affects both commits.  Compare only the ratios of each round;
+their median is the result.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @contextmanager
 def checked_out(commit: str, folder: Path) -> Iterator[Path]:
-    """A work tree of the commit, taken away again."""
+    """Creates a work tree of the commit and removes it afterwards."""
     add = ["git", "worktree", "add", "--quiet", "--detach", str(folder), commit]
     subprocess.run(add, cwd=ROOT, check=True)
     try:
@@ -46,9 +46,9 @@
         subprocess.run(["git", "worktree", "remove", "--force", str(folder)], cwd=ROOT, check=True)
 
 
-async def once(tree: Path, seconds: float, rate: float, seed: int) -> dict[str, float]:
-    """One round against the ingress in `tree`: figures by name."""
-    # Short work: the servers never queue, so that latency tells of the ingress.
+async def run_round(tree: Path, seconds: float, rate: float, seed: int) -> dict[str, float]:
+    """Plays one round against the ingress in `tree` and returns its figures by name."""
+    # Requests are short, so that servers never queue and latency depends on the ingress.
     deployment = Deployment(
         ingresses=1, servers=6, rate=rate, busy=0.2, retries=0.0, counter_rate=5000.0
     )
@@ -77,9 +77,9 @@
     parser.add_argument("old")
     parser.add_argument("new")
     parser.add_argument("--rounds", type=int, default=10)
-    parser.add_argument("--seconds", type=float, default=4.0, help="of each round (4)")
-    parser.add_argument("--rate", type=float, default=600.0, help="requests a second (600)")
-    parser.add_argument("--json", metavar="FILE", help="writes all rounds there")
+    parser.add_argument("--seconds", type=float, default=4.0, help="duration of each round (4)")
+    parser.add_argument("--rate", type=float, default=600.0, help="requests per second (600)")
+    parser.add_argument("--json", metavar="FILE", help="write all rounds to FILE")
     options = parser.parse_args(arguments)
     rounds: list[tuple[dict[str, float], dict[str, float]]] = []
     with tempfile.TemporaryDirectory(prefix="compare-") as folder, contextlib.ExitStack() as stack:
@@ -88,13 +88,15 @@
             for name, commit in (("old", options.old), ("new", options.new))
         ]
         for n in range(options.rounds):
-            found: dict[int, dict[str, float]] = {}
-            for which in ((0, 1), (1, 0))[n % 2]:
-                found[which] = uvloop.run(once(trees[which], options.seconds, options.rate, n))
-            rounds.append((found[0], found[1]))
+            figures_by_tree: dict[int, dict[str, float]] = {}
+            for tree_index in ((0, 1), (1, 0))[n % 2]:
+                figures_by_tree[tree_index] = uvloop.run(
+                    run_round(trees[tree_index], options.seconds, options.rate, n)
+                )
+            rounds.append((figures_by_tree[0], figures_by_tree[1]))
             print(
-                f"round {n + 1} of {options.rounds}: CPU {found[0]['cpu_us_per_request']:.0f} and "
-                f"{found[1]['cpu_us_per_request']:.0f} us a request",
+                f"round {n + 1} of {options.rounds}: CPU {figures_by_tree[0]['cpu_us_per_request']:.0f} and "
+                f"{figures_by_tree[1]['cpu_us_per_request']:.0f} us per request",
                 file=sys.stderr,
                 flush=True,
             )
@@ -105,7 +107,7 @@
     for name in NAMES:
         ratio, lowest, highest = spread(new[name] / old[name] for old, new in rounds if old[name])
         result[name] = ratio
-        old, new = (median(pair[which][name] for pair in rounds) for which in (0, 1))
+        old, new = (median(pair[tree_index][name] for pair in rounds) for tree_index in (0, 1))
         print(f"{name:<22}{old:>12.1f}{new:>12.1f}{ratio:>9.3f}   {lowest:.3f} {highest:.3f}")
     if options.json:
         Path(options.json).write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,11 +1,11 @@
-"""What a request costs the ingress, beside a relay that decides nothing, in interleaved rounds.
+"""Compares the cost of a request in the ingress with that in a plain relay, in interleaved rounds.
 
 Example: python -m benchmarks.cost --rounds 10 --against 1ac7ab3
 
-Each round plays every case against a fresh process of each subject, in an order that changes from round to
-round: the relay, this checkout interpreted, this checkout compiled (where its compiled form is there) and
-the commits named by --against.  Clients ask without pause; CPU is the kernel's account of the process,
-warm-up not counted.  Only the ratios, made within a round, are meant to be compared between machines.
+Each round plays every case against a new process of each subject, in an order that changes between rounds.
+The subjects are the relay, this checkout interpreted, this checkout compiled (if the compiled form exists)
+and the commits named by --against.  Clients send requests without pauses.  CPU time is the kernel's account
+of the process, without the warm-up.  Compare only ratios within a round between machines.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 from benchmarks.revisions import compilation_switch, program_package
 from ingress.compilation import MODE_VARIABLE, Form
 
-LISTENERS = 8  # sockets on which the stand-in servers answer; a long list names each many times
-STARTS = 15.0  # s that a process may take until it answers
+LISTENERS = 8  # sockets of the simulated servers; a long endpoint list repeats each of them
+START_TIMEOUT_S = 15.0  # until the process must answer a PING
 FIGURES = ("cpu_us", "p50_ms", "p99_ms", "rss_mb", "per_second", "refused_share", "first_refused")
 RELAY = "relay"
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """How much is asked: connections, commands out on each, servers in the list, customers."""
+    """The load: connections, pipelined commands on each, servers in the list, customers."""
 
     name: str
     connections: int = 16
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """A program under test: its name, where its sources lie, and what its environment adds."""
+    """A program under test: its name, the root of its sources, and additional environment variables."""
 
     name: str
     tree: Path
@@ -77,7 +77,7 @@
     env: Mapping[str, str] | None = None,
     log: int = subprocess.DEVNULL,
 ) -> Iterator[subprocess.Popen[str]]:
-    """A process that is ended with the block."""
+    """Starts a process that is killed at the end of the block."""
     process = subprocess.Popen(
         command,
         cwd=cwd,
@@ -94,25 +94,25 @@
         process.communicate()
 
 
-def line(process: subprocess.Popen[str]) -> str:
+def read_line(process: subprocess.Popen[str]) -> str:
     assert process.stdout is not None
     text = process.stdout.readline()
     if not text:
-        raise SystemExit(f"{process.args!r} ended with {process.wait()}")
+        raise SystemExit(f"{process.args!r} exited with status {process.wait()}")
     return text.strip()
 
 
-def told(process: subprocess.Popen[str]) -> dict[str, Any]:
-    """What the clients saw since they were last asked."""
+def request_counts(process: subprocess.Popen[str]) -> dict[str, Any]:
+    """Returns the clients' counts and latencies since the previous call."""
     assert process.stdin is not None
     process.stdin.write("\n")
     process.stdin.flush()
-    found: dict[str, Any] = json.loads(line(process))
-    return found
+    counts: dict[str, Any] = json.loads(read_line(process))
+    return counts
 
 
-def cpu(pid: int) -> float:
-    """Seconds of CPU of all threads of a process, by the scheduler's own account."""
+def cpu_seconds(pid: int) -> float:
+    """Returns the CPU time of all threads of a process in seconds, from the scheduler's statistics."""
     return (
         sum(
             int((task / "schedstat").read_text().split()[0])
@@ -122,8 +122,8 @@
     )
 
 
-def resident(pid: int) -> float:
-    """MB resident."""
+def resident_mb(pid: int) -> float:
+    """Returns the resident memory of a process in MB."""
     text = Path(f"/proc/{pid}/statm").read_text().split()[1]
     return int(text) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
@@ -137,7 +137,7 @@
 def configuration(
     case: Case, addresses: Sequence[str], listen: str, discovery: str
 ) -> dict[str, Any]:
-    """An ingress's configuration: one plan whose quota never binds, warm servers, no counter."""
+    """Returns an ingress configuration: one plan whose quota is never reached, warm servers, no counter."""
     servers = [
         {
             "id": f"s-{n:08x}",
@@ -176,25 +176,28 @@
     }
 
 
-def answers(where: str) -> bool:
-    host, _, port = where.rpartition(":")
+def answers_ping(address: str) -> bool:
+    host, _, port = address.rpartition(":")
     with contextlib.suppress(OSError), socket.create_connection((host, int(port)), 1.0) as sock:
         sock.sendall(b"*1\r\n$4\r\nPING\r\n")
         return sock.recv(7) == b"+PONG\r\n"
     return False
 
 
-def once(
+def run_case(
     subject: Subject, case: Case, warm: float, seconds: float, flame: str | None = None
 ) -> dict[str, float]:
-    """Figures of one case against a fresh process of the subject.  `flame`: a file that py-spy draws to."""
+    """Returns the figures of one case against a new process of the subject.
+
+    With `flame`, py-spy writes a flame graph to that file.
+    """
     python = sys.executable
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="cost-")))
         serve = (python, "-m", "benchmarks.hammer", "serve", str(LISTENERS))
         servers = stack.enter_context(started(serve, ROOT))
-        addresses = line(servers).split()
-        # Accepts and says nothing, as discovery does while it is down.
+        addresses = read_line(servers).split()
+        # Accepts connections and never answers, like an unresponsive discovery service.
         silent = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         listen = f"127.0.0.1:{free_port()}"
         if subject.name == RELAY:
@@ -211,8 +214,8 @@
                 command, subject.tree, {**subject.env, "EDGE_CONFIG": str(folder / "config.json")}
             )
         )
-        deadline = time.monotonic() + STARTS
-        while not answers(listen):
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while not answers_ping(listen):
             if process.poll() is not None or time.monotonic() > deadline:
                 raise SystemExit(f"{subject.name} did not start")
             time.sleep(0.05)
@@ -231,10 +234,10 @@
                 ROOT,
             )
         )
-        line(clients)
+        read_line(clients)
         time.sleep(warm)
-        told(clients)
-        began, at = cpu(process.pid), time.monotonic()
+        request_counts(clients)
+        cpu_before, started_at = cpu_seconds(process.pid), time.monotonic()
         if flame is None:
             time.sleep(seconds)
         else:
@@ -252,27 +255,31 @@
                 str(max(1, round(seconds))),
             )
             subprocess.run(spy, check=True, stdout=subprocess.DEVNULL)
-        found, used, took = told(clients), cpu(process.pid) - began, time.monotonic() - at
-        if not found["served"] or found["lost"]:
+        counts, cpu_used, elapsed = (
+            request_counts(clients),
+            cpu_seconds(process.pid) - cpu_before,
+            time.monotonic() - started_at,
+        )
+        if not counts["served"] or counts["lost"]:
             raise SystemExit(
-                f"{subject.name}, {case.name}: {found['served']} served, {found['lost']} "
+                f"{subject.name}, {case.name}: {counts['served']} served, {counts['lost']} "
                 f"connections lost"
             )
-        latencies, asked = found["latencies"], found["served"] + found["refused"]
+        latencies, total = counts["latencies"], counts["served"] + counts["refused"]
         return {
-            "cpu_us": used / asked * 1e6,
+            "cpu_us": cpu_used / total * 1e6,
             "p50_ms": latencies[len(latencies) // 2] * 1e3,
             "p99_ms": latencies[len(latencies) * 99 // 100] * 1e3,
-            "rss_mb": resident(process.pid),
-            "per_second": asked / took,
-            "refused_share": found["refused"] / asked,
-            "first_refused": found["first_refused"],
+            "rss_mb": resident_mb(process.pid),
+            "per_second": total / elapsed,
+            "refused_share": counts["refused"] / total,
+            "first_refused": counts["first_refused"],
         }
 
 
 def subjects(stack: ExitStack, commits: Sequence[str]) -> list[Subject]:
     found = [Subject(RELAY, ROOT, {}), Subject("interpreted", ROOT, {MODE_VARIABLE: "off"})]
-    if form().compiled:
+    if checkout_form().compiled:
         found.append(Subject("compiled", ROOT, {MODE_VARIABLE: "require"}))
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="cost-")))
     for commit in commits:
@@ -281,14 +288,14 @@
     return found
 
 
-def form() -> Form:
-    """Whether this checkout has its compiled form, asked in a process of its own."""
-    code = "from ingress.compilation import use; form = use('auto'); print(int(form.compiled), form.why)"
+def checkout_form() -> Form:
+    """Returns the form that a new process of this checkout uses."""
+    code = "from ingress.compilation import use; form = use('auto'); print(int(form.compiled), form.detail)"
     done = subprocess.run(
         (sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True
     )
-    compiled, _, why = done.stdout.strip().partition(" ")
-    return Form(compiled == "1", why)
+    compiled, _, detail = done.stdout.strip().partition(" ")
+    return Form(compiled == "1", detail)
 
 
 def table(
@@ -296,7 +303,7 @@
     cases: Sequence[Case],
     names: Sequence[str],
 ) -> list[dict[str, Any]]:
-    """One row for each case and subject: medians, and the CPU's ratio to the relay's round by round."""
+    """Returns a row per case and subject: medians, and the ratios of CPU to the relay's CPU."""
     rows: list[dict[str, Any]] = []
     for case in cases:
         for name in names:
@@ -323,50 +330,50 @@
         epilog="Example: python -m benchmarks.cost --rounds 3 --case '16 connections'",
     )
     parser.add_argument("--rounds", type=int, default=10)
+    parser.add_argument("--seconds", type=float, default=2.0, help="measured time of each run (2)")
     parser.add_argument(
-        "--seconds", type=float, default=2.0, help="that are measured in each run (2)"
+        "--warm", type=float, default=1.5, help="warm-up in seconds before each measurement (1.5)"
     )
-    parser.add_argument("--warm", type=float, default=1.5, help="seconds before them (1.5)")
     parser.add_argument(
         "--against",
         action="append",
         default=[],
         metavar="COMMIT",
-        help="plays this commit too, interpreted; may stand several times",
+        help="also measure this commit, interpreted; may be repeated",
     )
     parser.add_argument(
         "--case",
         action="append",
         metavar="NAME",
         choices=[case.name for case in CASES],
-        help="only this one; may stand several times.  There are: "
+        help="measure only this case; may be repeated.  Cases: "
         + "; ".join(case.name for case in CASES),
     )
     parser.add_argument(
         "--flame",
         metavar="FILE",
-        help="instead of rounds, one run of the first case under "
-        "py-spy (pip install py-spy), of the program interpreted; draws to FILE",
+        help="instead of rounds, run the first case once, interpreted, under "
+        "py-spy (pip install py-spy) and write a flame graph to FILE",
     )
-    parser.add_argument("--json", metavar="FILE", help="writes all rounds and the table there")
+    parser.add_argument("--json", metavar="FILE", help="write all rounds and the table to FILE")
     options = parser.parse_args(arguments)
     cases = [case for case in CASES if not options.case or case.name in options.case]
     if options.flame:
         if shutil.which("py-spy") is None:
             parser.error("--flame needs py-spy: pip install py-spy")
         interpreted = Subject("interpreted", ROOT, {MODE_VARIABLE: "off"})
-        once(interpreted, cases[0], options.warm, options.seconds, options.flame)
+        run_case(interpreted, cases[0], options.warm, options.seconds, options.flame)
         return 0
     rounds: list[dict[tuple[str, str], dict[str, float]]] = []
     with ExitStack() as stack:
-        played = subjects(stack, options.against)
+        tested = subjects(stack, options.against)
         for n in range(options.rounds):
             order = random.Random(n).sample(
-                [(c, s) for c in cases for s in played], len(cases) * len(played)
+                [(c, s) for c in cases for s in tested], len(cases) * len(tested)
             )
             rounds.append({})
             for at, (case, subject) in enumerate(order, 1):
-                rounds[-1][case.name, subject.name] = once(
+                rounds[-1][case.name, subject.name] = run_case(
                     subject, case, options.warm, options.seconds
                 )
                 print(
@@ -376,7 +383,7 @@
                     flush=True,
                 )
     print(file=sys.stderr)
-    rows = table(rounds, cases, [subject.name for subject in played])
+    rows = table(rounds, cases, [subject.name for subject in tested])
     print(
         f"{'case':<30}{'subject':<13}{'us':>7}{'ratio':>8}{'lowest':>8}{'highest':>8}{'p50 ms':>8}"
         f"{'p99 ms':>8}{'MB':>6}{'a second':>10}{'refused':>9}{'of first':>9}"
@@ -389,9 +396,9 @@
             f"{row['first_refused']:>9.1%}"
         )
     if options.json:
-        kept = [[{"case": c, "subject": s} | f for (c, s), f in row.items()] for row in rounds]
+        records = [[{"case": c, "subject": s} | f for (c, s), f in row.items()] for row in rounds]
         Path(options.json).write_text(
-            json.dumps({"rounds": kept, "table": rows}, indent=1) + "\n", encoding="utf-8"
+            json.dumps({"rounds": records, "table": rows}, indent=1) + "\n", encoding="utf-8"
         )
     return 0
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -1,10 +1,10 @@
-"""Drawn bytes for each codec: nothing but the codec's own error may come out, and nothing more may be kept.
+"""Fuzzes each codec: it may raise only its own error and may hold only a bounded amount of memory.
 
 Example: python -m benchmarks.fuzz --bytes 10000000 --seed 7
 
-Whole messages are mutated (bytes changed, cut, doubled, joined), cut into reads at drawn places, and fed.
-Needs requirements-lab.txt.  Exit status: 0; 1 if something else was raised or kept: it prints the seed and
-the input that repeat it.
+Mutates whole messages (changes, removes, repeats and inserts bytes), joins them, splits them into reads at
+random positions and feeds them to the codec.  Needs requirements-lab.txt.  Exit status: 0; 1 if a codec
+raised another error or held too much memory.  The message gives the seed and the input that reproduce it.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 KEPT_MOST = (
     4 * 1024 * 1024
-)  # bytes that a codec may hold after any input: its largest answer, a few times
+)  # bytes that a codec may hold after any input: a few times its largest response
 SETTINGS = Settings(
     classes=(
         RequestClass("read", 1.0, 4.0),
@@ -118,11 +118,11 @@
 }
 
 
-HARMS = (b"\r\n", b"99999999", b"-1", b"\0", b"\xff\xfe", b"[" * 50, b'"\\ud800"')
+INSERTIONS = (b"\r\n", b"99999999", b"-1", b"\0", b"\xff\xfe", b"[" * 50, b'"\\ud800"')
 
 
-def mutated(rng: random.Random, seeds: Sequence[bytes]) -> bytes:
-    """Some whole messages, some of them harmed."""
+def mutate(rng: random.Random, seeds: Sequence[bytes]) -> bytes:
+    """Returns one to four whole messages, some of them mutated."""
     parts = []
     for _ in range(rng.randrange(1, 5)):
         data = bytearray(rng.choice(seeds))
@@ -135,43 +135,43 @@
             elif kind == 2:
                 data[at:at] = data[at : at + rng.randrange(1, 40)]
             elif kind == 3:
-                data[at:at] = rng.choice(HARMS)
+                data[at:at] = rng.choice(INSERTIONS)
             elif data:
                 data[at % len(data)] ^= 1 << rng.randrange(8)
         parts.append(bytes(data))
     return b"".join(parts)
 
 
-def front(talk: ClientProtocol, reads: Sequence[bytes]) -> None:
-    """As the listener feeds it."""
-    rest = b""
+def feed_client_protocol(protocol: ClientProtocol, reads: Sequence[bytes]) -> None:
+    """Feeds a client protocol as the listener does."""
+    buffered = b""
     for data in reads:
-        rest += data
+        buffered += data
         at = 0
-        while at < len(rest) and (end := talk.find_frame_end(rest, at)) >= 0:
+        while at < len(buffered) and (end := protocol.find_frame_end(buffered, at)) >= 0:
             try:
-                talk.decode_request(rest[at:end])
+                protocol.decode_request(buffered[at:end])
             except InvalidCallError as error:
-                talk.encode_error(str(error))
+                protocol.encode_error(str(error))
             at = end
-        rest = rest[at:]
-        talk.interim_response()
+        buffered = buffered[at:]
+        protocol.interim_response()
 
 
-def back(wire: BackendProtocol, reads: Sequence[bytes]) -> None:
-    """As the pool feeds it: a request, and what comes until it is answered."""
-    wire.encode_request(CALL, 0.5)
+def feed_backend_protocol(protocol: BackendProtocol, reads: Sequence[bytes]) -> None:
+    """Feeds a backend protocol as the pool does: a request, then reads until it is answered."""
+    protocol.encode_request(CALL, 0.5)
     for data in reads:
-        done = wire.receive_data(data)
-        if done is not None:
-            if not done.reusable:
+        result = protocol.receive_data(data)
+        if result is not None:
+            if not result.reusable:
                 return
-            wire.encode_request(CALL, 0.5)
-    wire.receive_eof()
+            protocol.encode_request(CALL, 0.5)
+    protocol.receive_eof()
 
 
-def texts(reads: Sequence[bytes]) -> None:
-    """The level of JSON alone, which the codecs of HTTP call with whole bodies."""
+def feed_json(reads: Sequence[bytes]) -> None:
+    """Feeds the JSON layer alone, which the HTTP codecs call with whole bodies."""
     data = b"".join(reads)
     http_v2.problem_type(data)
     fields = {
@@ -188,25 +188,31 @@
 
 
 def fuzz(name: str, most: int, seed: int) -> tuple[int, int, int]:
-    """Feeds `most` bytes; how many inputs that were, how many ended in the codec's own error, and the most
-    bytes that were held at one time.  Raises AssertionError for anything else."""
+    """Feeds at least `most` bytes to a codec.
+
+    Returns:
+        The number of inputs, the number that ended in the codec's own error, and the peak of held bytes.
+
+    Raises:
+        AssertionError: The codec raised another error or held too many bytes.
+    """
     inputs = errors = fed = worst = 0
     tracemalloc.start()
     while fed < most:
         inputs += 1
         rng = random.Random(f"{seed} {name} {inputs}")
-        data = mutated(rng, SEEDS[name])
+        data = mutate(rng, SEEDS[name])
         cuts = sorted(rng.randrange(len(data) + 1) for _ in range(rng.randrange(0, 4)))
         reads = [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True) if a < b]
         fed += len(data)
         codec = MAKE[name]()
         try:
             if name == "json":
-                texts(reads)
+                feed_json(reads)
             elif name.endswith("front"):
-                front(codec, reads)
+                feed_client_protocol(codec, reads)
             else:
-                back(codec, reads)
+                feed_backend_protocol(codec, reads)
         except (MalformedFrameError, MalformedResponseError):
             errors += 1
         except Exception as error:
@@ -228,10 +234,17 @@
         description=(__doc__ or "").partition("\n\n")[0],
         epilog="Example: python -m benchmarks.fuzz --bytes 10000000 --seed 7",
     )
-    parser.add_argument("--bytes", type=int, default=10_000_000, help="for each codec (10000000)")
+    parser.add_argument(
+        "--bytes", type=int, default=10_000_000, help="bytes fed to each codec (10000000)"
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--codec", choices=sorted(SEEDS), action="append", help="only that one")
-    parser.add_argument("--json", action="store_true", help="prints the table as JSON")
+    parser.add_argument(
+        "--codec",
+        choices=sorted(SEEDS),
+        action="append",
+        help="fuzz only this codec; may be repeated",
+    )
+    parser.add_argument("--json", action="store_true", help="print the table as JSON")
     options = parser.parse_args(arguments)
     rows: dict[str, dict[str, float]] = {}
     for name in options.codec or SEEDS:
--- a/benchmarks/hammer.py
+++ b/benchmarks/hammer.py
@@ -1,9 +1,9 @@
-"""The peers of `benchmarks.cost`, each a process: servers that answer at once, clients that never pause.
+"""Peer processes of `benchmarks.cost`: servers that answer at once and clients that never pause.
 
 `python -m benchmarks.hammer serve COUNT` prints the addresses that it serves.  `python -m benchmarks.hammer
-ask ADDRESS CONNECTIONS PIPELINED CUSTOMERS` prints a line once it asks, and from then on one line of JSON for
-each line that it reads: what was served and refused since, connections lost, the share refused of the first
-60 answers, and latencies in seconds.
+ask ADDRESS CONNECTIONS PIPELINED CUSTOMERS` prints a line when it starts to send requests, then one line of
+JSON for each line that it reads: the requests served and refused since the previous one, the connections
+lost, the share refused of the first 60 responses, and latencies in seconds.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from benchmarks.relay import address
 
 VALUE = b"*3\r\n$64\r\n" + b"v" * 64 + b"\r\n$-1\r\n$-1\r\n"
-MOST_KEPT = 200_000  # latencies that are kept; later ones are not
-FIRST = 60  # answers after the start that are looked at apart
-PAUSE = 0.002  # s before a refused client asks again
+MAX_LATENCIES = 200_000  # later latencies are not stored
+FIRST_RESPONSES = 60  # responses after the start that are counted separately
+RETRY_DELAY_S = 0.002  # before a refused client sends the next request
 
 
-class Answers(asyncio.Protocol):
-    """A server's connection: it counts commands by their ends and makes nothing of them."""
+class ServerConnection(asyncio.Protocol):
+    """A connection of a server, which answers each complete command without interpreting it."""
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
@@ -40,20 +40,20 @@
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        whole = 0
+        commands = 0
         while self.reader.gets() is not False:
-            whole += 1
-        self.transport.write(VALUE * whole)
+            commands += 1
+        self.transport.write(VALUE * commands)
 
 
-class Asker(asyncio.Protocol):
-    """A client's connection with `depth` commands out at any time."""
+class ClientConnection(asyncio.Protocol):
+    """A connection of a client with `depth` commands in flight at any time."""
 
     ids = count(1)
 
     def __init__(self, tally: Tally, depth: int, customers: int) -> None:
         self.tally, self.depth, self.customers = tally, depth, customers
-        self.reader, self.out = hiredis.Reader(), deque[float]()
+        self.reader, self.sent_at = hiredis.Reader(), deque[float]()
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -71,41 +71,45 @@
                 b"$46\r\nc=read,t=basic,d=2000,units=1,spread=1,first=0\r\n"
                 % (request * 7919 % self.customers, request)
             )
-            self.out.append(now)
+            self.sent_at.append(now)
         self.transport.write(b"".join(commands))
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        good = bad = 0
+        served = refused = 0
         while (answer := self.reader.gets()) is not False:
-            self.tally.took(time.perf_counter() - self.out.popleft(), isinstance(answer, bytes))
-            good, bad = (good + 1, bad) if isinstance(answer, bytes) else (good, bad + 1)
-        if good:
-            self.ask(good)
-        if bad:
-            asyncio.get_running_loop().call_later(PAUSE, self.ask, bad)
+            self.tally.record(
+                time.perf_counter() - self.sent_at.popleft(), isinstance(answer, bytes)
+            )
+            served, refused = (
+                (served + 1, refused) if isinstance(answer, bytes) else (served, refused + 1)
+            )
+        if served:
+            self.ask(served)
+        if refused:
+            asyncio.get_running_loop().call_later(RETRY_DELAY_S, self.ask, refused)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.tally.lost += 1
 
 
 class Tally:
-    """What was answered since the last look."""
+    """Counts of responses since the last report."""
 
     def __init__(self) -> None:
-        self.fresh()
+        self.reset()
         self.lost = self.answers = self.first_refused = 0
 
-    def fresh(self) -> None:
+    def reset(self) -> None:
         self.served = self.refused = 0
         self.latencies: list[float] = []
 
-    def took(self, seconds: float, served: bool) -> None:
+    def record(self, seconds: float, served: bool) -> None:
         self.answers += 1
-        self.first_refused += not served and self.answers <= FIRST
+        self.first_refused += not served and self.answers <= FIRST_RESPONSES
         if served:
             self.served += 1
-            if len(self.latencies) < MOST_KEPT:
+            if len(self.latencies) < MAX_LATENCIES:
                 self.latencies.append(seconds)
         else:
             self.refused += 1
@@ -113,7 +117,7 @@
 
 async def serve(number: int) -> None:
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Answers, "127.0.0.1", 0) for _ in range(number)]
+    servers = [await loop.create_server(ServerConnection, "127.0.0.1", 0) for _ in range(number)]
     print(
         " ".join(f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers),
         flush=True,
@@ -124,7 +128,7 @@
 async def ask(where: str, connections: int, depth: int, customers: int) -> None:
     loop, tally, host = asyncio.get_running_loop(), Tally(), address(where)
     for _ in range(connections):
-        await loop.create_connection(lambda: Asker(tally, depth, customers), *host)
+        await loop.create_connection(lambda: ClientConnection(tally, depth, customers), *host)
     print("asking", flush=True)
     lines: asyncio.Queue[str] = asyncio.Queue()
 
@@ -141,13 +145,13 @@
                     "served": tally.served,
                     "refused": tally.refused,
                     "lost": tally.lost,
-                    "first_refused": tally.first_refused / FIRST,
+                    "first_refused": tally.first_refused / FIRST_RESPONSES,
                     "latencies": sorted(tally.latencies)[:: max(1, len(tally.latencies) // 1000)],
                 }
             ),
             flush=True,
         )
-        tally.fresh()
+        tally.reset()
 
 
 if __name__ == "__main__":
--- a/benchmarks/left.py
+++ b/benchmarks/left.py
@@ -1,13 +1,13 @@
-"""Requests whose clients left while they waited: how many were sent on 0.1 s later after all.
+"""Counts requests that are forwarded more than 0.1 s after their client has left.
 
     python -m benchmarks.left --rounds 3 --load 4
     python -m benchmarks.left --root ../before --json
 
-Starts the program of `--root` as a process, with stand-ins that hold what a request waits for until its
-client has left: a connection that comes up late, the counter's answer, an answer before which a connection is
-not read on, the outcome of an earlier attempt.  Clients leave by a reset, by ending their sending, and by
-closing.  A request that was answered or sent on before its client left is no case.  Status 1: a request was
-sent on; 2: a wait did not come about.
+Starts the program of `--root` as a process, with simulated peers that delay each request until its client has
+left.  A request waits for a connection that is established late, for the counter's reply, for a response
+before which the program reads no more commands from the connection, or for the outcome of an earlier attempt.
+Clients leave by a reset, a half-close or a close.  A request that was answered or forwarded before its client
+left does not count.  Exit status 1: a request was forwarded; 2: a kind of wait did not occur.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
-WAYS = ("reset", "half", "full")
-LATE = 0.1  # s after which nothing may be sent on any more
-HOLD = 0.11  # s from when the last client has left until the stand-ins let go
-AFTER = 4.0  # s in which what would be sent on comes: connections try again after 1 s and 3 s
-AHEAD = 64  # commands of a connection that are taken before it is not read on
-RESET = struct.pack("ii", 1, 0)
+DEPARTURES = ("reset", "half", "full")
+MAX_DELAY_S = 0.1  # longest permitted time from the client's departure to forwarding
+RELEASE_DELAY_S = 0.11  # from the departure of the last client until the peers respond
+OBSERVATION_S = 4.0  # time for late forwarding; covers connection retries after 1 s and 3 s
+READ_AHEAD = 64  # commands that the program reads from a connection before it pauses reading
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER of zero: closing resets the connection
 
 
 class Bench:
-    """One play: the stand-ins, what reached a backend and when, and when each client left."""
+    """The simulated peers of one run, the arrival times at backends and the departures of clients."""
 
     def __init__(self, wait: str) -> None:
         self.wait, self.release = wait, asyncio.Event()
-        self.came: dict[str, list[float]] = {}
-        self.left: dict[str, float] = {}
+        self.arrivals: dict[str, list[float]] = {}
+        self.left_at: dict[str, float] = {}
         self.servers: list[asyncio.Server] = []
 
     async def serve(self, script: Callable[[Reader, Writer], Awaitable[None]]) -> int:
@@ -63,10 +63,10 @@
                 size = int((await reader.readuntil(b"\r\n"))[1:])
                 words.append((await reader.readexactly(size + 2))[:-2])
             name = words[3].decode()
-            self.came.setdefault(name, []).append(time.monotonic())
-            if self.wait == "unread" or (self.wait == "attempt" and len(self.came[name]) == 1):
+            self.arrivals.setdefault(name, []).append(time.monotonic())
+            if self.wait == "unread" or (self.wait == "attempt" and len(self.arrivals[name]) == 1):
                 await self.release.wait()
-            if self.wait == "attempt" and len(self.came[name]) == 1:
+            if self.wait == "attempt" and len(self.arrivals[name]) == 1:
                 writer.write(b"-BUSY\r\n")
             else:
                 writer.write(b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n")
@@ -118,7 +118,7 @@
         writer.write_eof()
         return
     if how == "reset":
-        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     writer.transport.abort()
 
 
@@ -128,21 +128,25 @@
 
 
 async def play(wait: str, how: str, clients: int, root: Path, folder: Path) -> tuple[int, int]:
-    """The cases brought about, and those sent on after all."""
+    """Returns the number of requests that waited and the number of those forwarded too late."""
     bench = Bench(wait)
-    gate = socket.create_server(("127.0.0.1", 0), backlog=0)
-    fill = socket.create_connection(gate.getsockname())
+    listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+    queued = socket.create_connection(listener.getsockname())
     ports = (
-        [gate.getsockname()[1]]
+        [listener.getsockname()[1]]
         if wait == "connection"
         else [await bench.serve(bench.backend) for _ in range(3)]
     )
-    counter, here, path = await bench.serve(bench.counter), free_port(), folder / "config.json"
+    counter, listen_port, path = (
+        await bench.serve(bench.counter),
+        free_port(),
+        folder / "config.json",
+    )
     path.write_text(
         json.dumps(
             {
                 "name": "n0",
-                "listen": f"127.0.0.1:{here}",
+                "listen": f"127.0.0.1:{listen_port}",
                 "discovery": f"127.0.0.1:{free_port()}",
                 "seed": "5",
                 "counter": f"127.0.0.1:{counter}",
@@ -184,20 +188,22 @@
     drain = asyncio.create_task(process.stderr.read())
     readers: set[asyncio.Task[None]] = set()
     try:
-        await asks(bench, wait, how, clients, here)
-        await asyncio.sleep(HOLD)
+        await send_and_leave(bench, wait, how, clients, listen_port)
+        await asyncio.sleep(RELEASE_DELAY_S)
         bench.release.set()
         if wait == "connection":
-            gate.setblocking(False)
-            loop, end = asyncio.get_running_loop(), time.monotonic() + AFTER
+            listener.setblocking(False)
+            loop, end = asyncio.get_running_loop(), time.monotonic() + OBSERVATION_S
             while time.monotonic() < end:
                 with suppress(TimeoutError):
-                    sock, _ = await asyncio.wait_for(loop.sock_accept(gate), end - time.monotonic())
+                    sock, _ = await asyncio.wait_for(
+                        loop.sock_accept(listener), end - time.monotonic()
+                    )
                     reader, writer = await asyncio.open_connection(sock=sock)
-                    task = asyncio.create_task(swallow(bench.backend(reader, writer)))
+                    task = asyncio.create_task(ignore_disconnect(bench.backend(reader, writer)))
                     readers.add(task)
         else:
-            await asyncio.sleep(AFTER - 2.0)
+            await asyncio.sleep(OBSERVATION_S - 2.0)
     finally:
         process.kill()
         await process.wait()
@@ -206,25 +212,33 @@
             task.cancel()
         for server in bench.servers:
             server.close()
-        gate.close()
-        fill.close()
-    least = 2 if wait == "attempt" else 1  # the attempt with which it counts as sent on
-    cases = [(at, bench.came.get(name, [])) for name, at in bench.left.items()]
-    cases = [(at, came) for at, came in cases if len([t for t in came if t <= at]) < least]
-    late = [1 for at, came in cases if len(came) >= least and came[least - 1] > at + LATE]
+        listener.close()
+        queued.close()
+    counted_attempt = 2 if wait == "attempt" else 1  # its arrival counts as forwarding
+    cases = [(at, bench.arrivals.get(name, [])) for name, at in bench.left_at.items()]
+    cases = [
+        (at, arrivals)
+        for at, arrivals in cases
+        if len([t for t in arrivals if t <= at]) < counted_attempt
+    ]
+    late = [
+        1
+        for at, arrivals in cases
+        if len(arrivals) >= counted_attempt and arrivals[counted_attempt - 1] > at + MAX_DELAY_S
+    ]
     return len(cases), len(late)
 
 
-async def swallow(script: Awaitable[None]) -> None:
+async def ignore_disconnect(script: Awaitable[None]) -> None:
     with suppress(ConnectionError, asyncio.IncompleteReadError):
         await script
 
 
-async def asks(bench: Bench, wait: str, how: str, clients: int, here: int) -> None:
-    """Clients ask, wait a little, and leave."""
-    if wait == "counter":  # the first try of each takes what its customer's slice holds
+async def send_and_leave(bench: Bench, wait: str, how: str, clients: int, listen_port: int) -> None:
+    """Sends the clients' requests, waits 0.3 s, and makes the clients leave."""
+    if wait == "counter":  # the first request of each client uses up its customer's quota slice
         for n in range(clients):
-            reader, writer = await asyncio.open_connection("127.0.0.1", here)
+            reader, writer = await asyncio.open_connection("127.0.0.1", listen_port)
             bench.wait = ""
             writer.write(command(f"first{n}", n))
             await reader.readline()
@@ -232,10 +246,10 @@
         bench.wait = wait
     writers = []
     for n in range(clients):
-        reader, writer = await asyncio.open_connection("127.0.0.1", here)
-        names = [f"{n}-{k}" for k in range(AHEAD + 20 if wait == "unread" else 1)]
+        reader, writer = await asyncio.open_connection("127.0.0.1", listen_port)
+        names = [f"{n}-{k}" for k in range(READ_AHEAD + 20 if wait == "unread" else 1)]
         writer.write(b"".join(command(name, n) for name in names))
-        writers.append((reader, writer, names[AHEAD:] if wait == "unread" else names))
+        writers.append((reader, writer, names[READ_AHEAD:] if wait == "unread" else names))
     await asyncio.sleep(0.3)
     for reader, writer, names in writers:
         answered = False
@@ -243,7 +257,7 @@
             answered = bool(await asyncio.wait_for(reader.read(1), 0.001))
         leave(writer, how)
         now = time.monotonic()
-        bench.left.update((name, now) for name in names if not answered)
+        bench.left_at.update((name, now) for name in names if not answered)
 
 
 async def measure(args: argparse.Namespace) -> list[dict[str, Any]]:
@@ -255,12 +269,12 @@
         "attempt": args.clients,
     }
     for wait, clients in waits.items():
-        for how in WAYS:
+        for how in DEPARTURES:
             cases = late = 0
             for number in range(args.rounds):
                 with tempfile.TemporaryDirectory() as folder:
-                    found = await play(wait, how, clients, args.root, Path(folder))
-                cases, late = cases + found[0], late + found[1]
+                    counts = await play(wait, how, clients, args.root, Path(folder))
+                cases, late = cases + counts[0], late + counts[1]
                 print(
                     f"\r{wait} {how} {number + 1} of {args.rounds}    ",
                     end="",
@@ -278,9 +292,11 @@
     )
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--clients", type=int, default=20)
-    parser.add_argument("--load", type=int, default=0, help="busy loops beside the program")
     parser.add_argument(
-        "--root", type=Path, default=Path(), help="a checkout whose program is measured"
+        "--load", type=int, default=0, help="number of busy loops that run next to the program"
+    )
+    parser.add_argument(
+        "--root", type=Path, default=Path(), help="checkout of the measured program"
     )
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
@@ -298,7 +314,7 @@
         for row in rows:
             print(
                 f"{row['waits_for']:>11} {row['leaves']:>6} {row['cases']:6} cases, "
-                f"{row['sent_on']:6} sent on"
+                f"{row['sent_on']:6} forwarded"
             )
     if any(row["cases"] == 0 for row in rows):
         return 2
--- a/benchmarks/migration.py
+++ b/benchmarks/migration.py
@@ -1,10 +1,10 @@
-"""A scenario over many seeds beside the same run without some of its faults, or with another ingress.
+"""Compares a scenario over many seeds with the same runs without version changes or with another ingress.
 
 Example: python -m benchmarks.migration --seeds 20 --json migration.json
 
-Each seed is played three times: with the scenario's faults, without its changes of generation, and with the
-command of --beside in place of the ingress (left out without it).  Service is compared seed by seed.  Exit
-status: 0; 1 if a run broke a rule that had to be kept (all but those of --beside); 130 interrupted.
+Plays each seed with the scenario's faults, without its changes of generation and, with --beside, with that
+command instead of the ingress.  Compares service seed by seed.  Exit status: 0; 1 if a run broke a rule, except
+in runs of --beside; 130 if interrupted.
 """
 
 from __future__ import annotations
@@ -29,8 +29,10 @@
 CHANGES = ("upgrade", "downgrade", "halfway", "swap")
 
 
-async def once(scenario: Scenario, command: str | None, gate: asyncio.Semaphore) -> dict[str, Any]:
-    async with gate:
+async def run_process(
+    scenario: Scenario, command: str | None, limiter: asyncio.Semaphore
+) -> dict[str, Any]:
+    async with limiter:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -43,31 +45,31 @@
             stdout=asyncio.subprocess.PIPE,
         )
         out, _ = await process.communicate()
-    found: dict[str, Any] = json.loads(out)
+    result: dict[str, Any] = json.loads(out)
     print(
-        f"seed {scenario.seed}: service {found['service']:.3f}, {found['effect']} breaches of effect",
+        f"seed {scenario.seed}: service {result['service']:.3f}, {result['effect']} breaches of effect",
         file=sys.stderr,
         flush=True,
     )
-    return found
+    return result
 
 
 def scenario(name: str, seed: int, still: bool) -> Scenario:
-    """The scenario with that seed; `still`: without its changes of generation."""
+    """Returns the scenario with the seed; with `still`, without its changes of generation."""
     path = SCENARIOS / f"{name}.toml"
-    made = read_scenario(path.read_text(encoding="utf-8"), str(path), seed=seed)
-    faults = tuple(f for f in made.faults if not still or f.kind not in CHANGES)
-    return replace(made, name=name, faults=faults)
+    original = read_scenario(path.read_text(encoding="utf-8"), str(path), seed=seed)
+    faults = tuple(f for f in original.faults if not still or f.kind not in CHANGES)
+    return replace(original, name=name, faults=faults)
 
 
 async def play(name: str, seed: int, command: str, still: bool) -> dict[str, Any]:
-    """One run, in a process of its own: its loopback addresses are its own too."""
+    """Plays one run; each runs in its own process, with its own loopback addresses."""
     async with standing(scenario(name, seed, still), command or None) as world:
         await world.play()
         await world.close()
     figures, verdict = report(world)
     if world.faults:
-        raise SystemExit(f"the lab itself failed: {world.faults}")
+        raise SystemExit(f"the testbed itself failed: {world.faults}")
     return {
         "service": figures["service"],
         "rules": figures["rules"],
@@ -79,14 +81,14 @@
     }
 
 
-async def all_of(options: argparse.Namespace) -> dict[str, list[dict[str, Any]]]:
-    gate, seeds = asyncio.Semaphore(options.at_once), range(1, options.seeds + 1)
+async def run_all(options: argparse.Namespace) -> dict[str, list[dict[str, Any]]]:
+    limiter, seeds = asyncio.Semaphore(options.at_once), range(1, options.seeds + 1)
     kinds = {"moved": (False, None), "still": (True, None)}
     if options.beside:
         kinds["beside"] = (False, options.beside)
     rows = await asyncio.gather(
         *(
-            once(scenario(options.scenario, seed, still), command, gate)
+            run_process(scenario(options.scenario, seed, still), command, limiter)
             for seed in seeds
             for still, command in kinds.values()
         )
@@ -103,25 +105,25 @@
         description=(__doc__ or "").partition("\n\n")[0],
         epilog="Example: python -m benchmarks.migration --seeds 20",
     )
-    parser.add_argument(
-        "--scenario", default="migrate", help="a name of those that come with the lab"
-    )
+    parser.add_argument("--scenario", default="migrate", help="name of a scenario of the testbed")
     parser.add_argument("--seeds", type=int, default=20)
-    parser.add_argument("--at-once", type=int, default=3, help="runs at one time (3)")
+    parser.add_argument("--at-once", type=int, default=3, help="concurrent runs (3)")
     parser.add_argument(
-        "--beside", metavar="COMMAND", help="another ingress, played with the faults too"
+        "--beside",
+        metavar="COMMAND",
+        help="command of another ingress, also played with the faults",
     )
-    parser.add_argument("--json", metavar="FILE", help="writes all runs there")
+    parser.add_argument("--json", metavar="FILE", help="write all runs to FILE")
     options = parser.parse_args(words)
     try:
-        found = uvloop.run(all_of(options))
+        results = uvloop.run(run_all(options))
     except KeyboardInterrupt:
         return 130
     print(
         f"{'':<10}{'service':>9}{'lowest':>9}{'highest':>9}{'breaches':>10}{'twice':>7}"
         f"{'held back':>11}{'too busy':>10}"
     )
-    for kind, rows in found.items():
+    for kind, rows in results.items():
         service = [row["service"] for row in rows]
         print(
             f"{kind:<10}{median(service):>9.3f}{min(service):>9.3f}{max(service):>9.3f}"
@@ -130,16 +132,16 @@
             f"{sum(not row['judged'] for row in rows):>10}"
         )
     differences = sorted(
-        a["service"] - b["service"] for a, b in zip(found["moved"], found["still"], strict=True)
+        a["service"] - b["service"] for a, b in zip(results["moved"], results["still"], strict=True)
     )
     print(
         f"moved - still, seed by seed: median {median(differences):+.3f}, from {differences[0]:+.3f} to "
         f"{differences[-1]:+.3f}"
     )
     if options.json:
-        Path(options.json).write_text(json.dumps(found, indent=1) + "\n", encoding="utf-8")
+        Path(options.json).write_text(json.dumps(results, indent=1) + "\n", encoding="utf-8")
     return int(
-        any(sum(row["rules"].values()) for kind in ("moved", "still") for row in found[kind])
+        any(sum(row["rules"].values()) for kind in ("moved", "still") for row in results[kind])
     )
 
 
--- a/benchmarks/pairs.py
+++ b/benchmarks/pairs.py
@@ -1,10 +1,10 @@
-"""CPU per request of each pair of dialects, as a ratio to resp2-v1 on both sides, in interleaved rounds.
+"""Measures CPU per request of each pair of dialects, relative to resp2-v1 on both sides.
 
 Example: python -m benchmarks.pairs --rounds 10
 
-Each round plays the same calm seconds against one fresh ingress for every pair, in an order that changes from
-round to round; ratios are made within a round.  resp2-v1 on both sides runs without an operator's file, as
-today.  Needs requirements-lab.txt.
+Each round plays the same steady load against a new ingress process for every pair, in an order that changes
+between rounds; ratios are computed within a round.  resp2-v1 on both sides runs without an operator file.
+Needs requirements-lab.txt.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 SERVERS = 6
 
 
-async def once(client: str, server: str, seconds: float, rate: float, seed: int) -> float:
-    """CPU in microseconds a request."""
+async def measure_pair(client: str, server: str, seconds: float, rate: float, seed: int) -> float:
+    """Returns the CPU time per request in microseconds."""
     deployment = Deployment(
         ingresses=1, servers=SERVERS, rate=rate, busy=0.2, retries=0.0, counter_rate=5000.0
     )
@@ -57,18 +57,21 @@
         epilog="Example: python -m benchmarks.pairs --rounds 10",
     )
     parser.add_argument("--rounds", type=int, default=10)
-    parser.add_argument("--seconds", type=float, default=3.0, help="of each run (3)")
-    parser.add_argument("--rate", type=float, default=400.0, help="requests a second (400)")
-    parser.add_argument("--json", metavar="FILE", help="writes all rounds there")
+    parser.add_argument("--seconds", type=float, default=3.0, help="duration of each run (3)")
+    parser.add_argument("--rate", type=float, default=400.0, help="requests per second (400)")
+    parser.add_argument("--json", metavar="FILE", help="write all rounds to FILE")
     options = parser.parse_args(arguments)
     rounds: list[dict[tuple[str, str], float]] = []
     for n in range(options.rounds):
         order = random.Random(n).sample(PAIRS, len(PAIRS))
         rounds.append(
-            {pair: uvloop.run(once(*pair, options.seconds, options.rate, n)) for pair in order}
+            {
+                pair: uvloop.run(measure_pair(*pair, options.seconds, options.rate, n))
+                for pair in order
+            }
         )
         print(
-            f"round {n + 1} of {options.rounds}: {rounds[-1][OLD, OLD]:.0f} us a request on the old path",
+            f"round {n + 1} of {options.rounds}: {rounds[-1][OLD, OLD]:.0f} us per request on the old path",
             file=sys.stderr,
             flush=True,
         )
--- a/benchmarks/plays.py
+++ b/benchmarks/plays.py
@@ -1,4 +1,4 @@
-"""Many plays in processes side by side, with progress on standard error."""
+"""Runs many simulations in parallel processes, with progress on standard error."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 Result = TypeVar("Result")
 
 
-def side_by_side(
+def run_parallel(
     play: Callable[[Job], Result], jobs: Sequence[Job], processes: int
 ) -> Iterator[Result]:
-    """The results as they come, in any order.  Ctrl-C drops what has not begun, and is passed on."""
+    """Yields the results in the order of completion.
+
+    KeyboardInterrupt cancels the jobs that have not started and is raised again.
+    """
     with ProcessPoolExecutor(processes) as pool:
         try:
-            for number, done in enumerate(
+            for number, future in enumerate(
                 as_completed([pool.submit(play, job) for job in jobs]), 1
             ):
-                yield done.result()
+                yield future.result()
                 print(f"\r{number} of {len(jobs)}", end="", file=sys.stderr, flush=True)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
--- a/benchmarks/quota_fleet.py
+++ b/benchmarks/quota_fleet.py
@@ -1,12 +1,12 @@
-"""Quotas of a whole fleet on a quiet day, in virtual time: real Gateways beside a policy that sees late.
+"""Simulates quotas of a fleet under normal load: real Gateways and a policy with delayed knowledge.
 
     python -m benchmarks.quota_fleet --ingresses 3 40 200 --seeds 20
     python -m benchmarks.quota_fleet --ingresses 40 --seeds 2 --late 1.0 --json
 
-The price is what was sent on beyond the quotas, times each plan's cost of that, as a share of the worth that
-one who saw all first tries would let in.  The policy beside it sees the true stores as they were `--late`
-seconds ago, and its own use since.  Status 1: the Gateways' mean price is over that policy's by more than
-`--most`.
+The price is the cost of units forwarded beyond the quotas, at each plan's cost, as a share of the worth that an
+admission with complete knowledge of all first tries would admit.  The reference policy sees the true stores as
+of `--late` seconds ago, and its own use since then.  Exit status 1: the Gateways' mean price exceeds that of the
+reference policy by more than `--most`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from functools import partial
 from statistics import mean
 
-from benchmarks.plays import side_by_side
+from benchmarks.plays import run_parallel
 from ingress.simulation.fleet_simulation import Simulation
 from ingress.simulation.gateways import policy_gateways
 from ingress.simulation.reference_gateways import DelayedQuotaGateway
@@ -30,14 +30,14 @@
 
 
 def size_of(ingresses: int, seconds: float) -> Size:
-    """A tenth of the customers asks three times its quota; the others keep within it, some barely."""
-    thin = ingresses > 50
+    """Returns a size where 10% of customers request three times their quota and the others stay within."""
+    low_rate = ingresses > 50
     return Size(
         gateways=ingresses,
         backends=max(12, ingresses * 3 // 10),
         duration=seconds,
         client_retries=1,
-        mean_core_s=0.2 if thin else 0.04,
+        mean_core_s=0.2 if low_rate else 0.04,
         gateways_per_customer=min(12, max(2, ingresses // 3)),
         load=0.5,
         quota_use=0.55,
@@ -60,7 +60,10 @@
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument(
-        "--late", type=float, default=0.5, help="how late the policy beside it sees, s"
+        "--late",
+        type=float,
+        default=0.5,
+        help="delay of the reference policy's knowledge in seconds",
     )
     parser.add_argument("--most", type=float, default=0.1)
     parser.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) // 2))
@@ -72,11 +75,11 @@
         for name in ("gateways", "late")
         for seed in range(1, args.seeds + 1)
     ]
-    found: defaultdict[tuple[int, str], list[dict[str, float]]] = defaultdict(list)
-    for (name, n, _), figures in side_by_side(
+    figures_by_case: defaultdict[tuple[int, str], list[dict[str, float]]] = defaultdict(list)
+    for (name, n, _), figures in run_parallel(
         partial(play, seconds=args.seconds, late=args.late), jobs, args.jobs
     ):
-        found[n, name].append(figures)
+        figures_by_case[n, name].append(figures)
     rows = [
         {
             "ingresses": n,
@@ -85,7 +88,7 @@
             "worst_price": max(p["over_price"] for p in plays),
         }
         | {key: mean(p[key] for p in plays) for key in FIGURES}
-        for (n, name), plays in sorted(found.items())
+        for (n, name), plays in sorted(figures_by_case.items())
     ]
     if args.json:
         print(json.dumps(rows, indent=1))
@@ -99,7 +102,7 @@
                 f"{row['ingresses']:9} {row['policy']:>9} {row['plays']:5} {row['over_price']:6.3f} "
                 f"{row['worst_price']:6.3f} " + " ".join(f"{row[key]:9.3f}" for key in FIGURES[1:])
             )
-    price = {key: mean(p["over_price"] for p in plays) for key, plays in found.items()}
+    price = {key: mean(p["over_price"] for p in plays) for key, plays in figures_by_case.items()}
     return int(any(price[n, "gateways"] - price[n, "late"] > args.most for n in args.ingresses))
 
 
--- a/benchmarks/quota_trouble.py
+++ b/benchmarks/quota_trouble.py
@@ -1,12 +1,12 @@
-"""What quotas hold when the counter is lost, parted, slow or replaced, beside three plain policies.
+"""Compares quota enforcement of the Gateway with three simple policies while the counter is faulty.
 
 Example: python -m benchmarks.quota_trouble --seeds 20 --json trouble.json
 
-Plays every case over the seeds in virtual time (benchmarks/quota_world.py), all subjects against the very
-same requests, and prints one row for each: units sent on beyond the quotas as a share of what these allowed,
-of all plans and of `editorial` alone, and tries refused though the true store had room, as a share of all
-tries.  Figures are the median over the seeds, with the lowest and the highest.  Exit status: 0; 1 if a case
-did not come about or a ceiling was passed; 130 interrupted.
+Plays every case over the seeds in virtual time (benchmarks/quota_world.py), with the same requests for all
+subjects, and prints one row for each.  A row has the units forwarded beyond the quotas as a share of the allowed
+units, for all plans and for `editorial` alone, and the tries refused although the true store had room, as a
+share of all tries.  Figures are the median over the seeds, with the lowest and the highest.  Exit status: 0;
+1 if a fault did not occur or a ceiling was exceeded; 130 if interrupted.
 """
 
 from __future__ import annotations
@@ -41,21 +41,24 @@
 
 
 def play(case: str, subject: str, seed: int, size: Size) -> dict[str, Any]:
-    """One run's figures."""
-    began = time.process_time()
+    """Plays one run and returns its figures."""
+    started_at = time.process_time()
     tally = World(size, CASES[case], seed, SUBJECTS[subject]).play()
     return {
         "case": case,
         "subject": subject,
         "seed": seed,
         **figures(tally, size),
-        "came_about": sum(tally.came_about.values()) == len(CASES[case]),
-        "cpu_s": time.process_time() - began,
+        "came_about": sum(tally.occurred.values()) == len(CASES[case]),
+        "cpu_s": time.process_time() - started_at,
     }
 
 
 def figures(tally: Tally, size: Size) -> dict[str, float]:
-    """Shares are of 1.  `ceiling` is by how many units a ceiling's slack was passed."""
+    """Returns the figures of a run.
+
+    Shares are fractions of 1.  `ceiling` is the number of units by which a ceiling's slack was exceeded.
+    """
     return {
         "over": sum(tally.over.values()) / sum(tally.allowed.values()),
         "over_editorial": tally.over["editorial"] / tally.allowed["editorial"],
@@ -112,28 +115,30 @@
         action="append",
         choices=list(CASES),
         metavar="NAME",
-        help="only this one; may stand several times: " + "; ".join(CASES),
+        help="play only this case; may be repeated: " + "; ".join(CASES),
     )
     parser.add_argument(
         "--subject",
         action="append",
         choices=list(SUBJECTS),
         metavar="NAME",
-        help="only this one; may stand several times: " + "; ".join(SUBJECTS),
+        help="play only this subject; may be repeated: " + "; ".join(SUBJECTS),
     )
-    for name, kind, what in (
-        ("ingresses", int, "in all"),
-        ("spread", int, "that a customer may use"),
-        ("rate", float, "first tries a second"),
-        ("seconds", float, "of virtual time"),
-        ("calm", float, "share of its quota that a usual customer asks for"),
-        ("heavy", float, "share of the customers that ask for 3 times their quota"),
-        ("counter-rate", float, "calls a second that the counter can serve"),
+    for name, kind, description in (
+        ("ingresses", int, "number of ingresses"),
+        ("spread", int, "number of ingresses that a customer may use"),
+        ("rate", float, "first tries per second"),
+        ("seconds", float, "duration of a run in virtual time"),
+        ("calm", float, "share of its quota that a normal customer requests"),
+        ("heavy", float, "share of the customers that request 3 times their quota"),
+        ("counter-rate", float, "calls per second that the counter can serve"),
     ):
         default = getattr(Size(), name.replace("-", "_"))
-        parser.add_argument(f"--{name}", type=kind, default=default, help=f"{what} ({default:g})")
+        parser.add_argument(
+            f"--{name}", type=kind, default=default, help=f"{description} ({default:g})"
+        )
     parser.add_argument("--processes", type=int, default=max(1, (os.cpu_count() or 2) // 2))
-    parser.add_argument("--json", metavar="FILE", help="writes all runs and the table there")
+    parser.add_argument("--json", metavar="FILE", help="write all runs and the table to FILE")
     options = parser.parse_args(arguments)
     size = Size(
         options.ingresses,
@@ -145,7 +150,7 @@
         heavy=options.heavy,
     )
     cases, subjects = options.case or list(CASES), options.subject or list(SUBJECTS)
-    asked = [
+    jobs = [
         (case, subject, seed)
         for case in cases
         for subject in subjects
@@ -154,9 +159,9 @@
     runs: list[dict[str, Any]] = []
     with ProcessPoolExecutor(options.processes) as pool:
         try:
-            for done in as_completed([pool.submit(play, *one, size) for one in asked]):
-                runs.append(done.result())
-                print(f"\r{len(runs)} of {len(asked)} runs ", end="", file=sys.stderr, flush=True)
+            for future in as_completed([pool.submit(play, *one, size) for one in jobs]):
+                runs.append(future.result())
+                print(f"\r{len(runs)} of {len(jobs)} runs ", end="", file=sys.stderr, flush=True)
         except KeyboardInterrupt:
             pool.shutdown(wait=False, cancel_futures=True)
             print("\ninterrupted", file=sys.stderr)
@@ -175,11 +180,11 @@
     if options.json:
         with open(options.json, "w", encoding="utf-8") as file:
             json.dump({"runs": runs, "table": rows}, file, indent=1)
-    # The others pass ceilings on purpose: that is what they are there to show.
+    # The other subjects are expected to exceed ceilings: they show the effect of simpler policies.
     broken = [run for run in runs if run["subject"] == "module" and run["ceiling"] > 0]
     for run in broken:
         print(
-            f"a ceiling was passed: {run['case']}, seed {run['seed']}, {run['ceiling']:.1f} units"
+            f"a ceiling was exceeded: {run['case']}, seed {run['seed']}, {run['ceiling']:.1f} units"
         )
     return 1 if broken or not all(run["came_about"] for run in runs) else 0
 
--- a/benchmarks/quota_world.py
+++ b/benchmarks/quota_world.py
@@ -1,8 +1,8 @@
-"""A fleet in virtual time round a counter that fails: real Gateways, and three plain policies beside them.
+"""Simulates a fleet with a faulty counter in virtual time: real Gateways and three simple policies.
 
-Servers answer everything after a short while, so that nothing but quotas decides.  The counter has parts of
-fixed capacity, is reached over a network, and goes wrong on a schedule; what it then does is stated with each
-`Trouble`.  A true store for each customer, which sees every send of every ingress at once, is the measure.
+Servers answer every request after a short time, so that only quotas affect the decisions.  The counter has
+parts of fixed capacity, is reached over a network and fails on a schedule; `Trouble` defines the faults.  The
+reference is a true store for each customer, which sees every request that any ingress forwards at once.
 """
 
 from __future__ import annotations
@@ -52,26 +52,29 @@
     ),
 )
 SHARES = {"base": 0.37, "plus": 0.37, "editorial": 0.26}
-TIMEOUT = 0.08  # s for a counter's answer
-WAY = 0.001  # s of network between ingress and counter, one way
-BEHIND = 2.0  # s of calls that wait at a part; more are turned away
-SERVED = 0.06, 0.2  # s that an answer takes, least and most
-LIFE = 60.0  # s, the longest life of a name
-SHIFT = 6.0  # s between changes of a customer's busiest ingress
-SHORT = 4.0  # of a plan's burst: how far below empty a true store counts as in use
+TIMEOUT = 0.08  # s until a call to the counter times out
+NETWORK_DELAY = 0.001  # s between ingress and counter, one way
+MAX_BACKLOG = 2.0  # s of calls queued at a part; more calls are rejected
+SERVICE_TIME = 0.06, 0.2  # s until a server answers, least and most
+MAX_LIFETIME = 60.0  # s, of a name in the counter
+SHIFT_INTERVAL = 6.0  # s between changes of a customer's busiest ingress
+SHORT = 4.0  # times a plan's burst: how far below empty a true store counts as in use
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A fleet and its customers.  `heavy` of the customers ask `heavy_x` times their quota, the others
-    `calm` of it."""
+    """A fleet and its customers.
+
+    The share `heavy` of the customers requests `heavy_x` times their quota; the others request the share `calm`
+    of it.
+    """
 
     ingresses: int = 3
-    rate: float = 75.0  # first tries a second
+    rate: float = 75.0  # first tries per second
     seconds: float = 24.0
-    spread: int = 3  # ingresses of a customer's set
+    spread: int = 3  # ingresses that a customer uses
     parts: int = 3
-    counter_rate: float = 520.0  # calls a second, all parts together
+    counter_rate: float = 520.0  # calls per second, all parts together
     calm: float = 0.4
     heavy: float = 0.12
     heavy_x: float = 3.0
@@ -79,13 +82,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """What goes wrong from `start` to `end`, in seconds.
+    """A fault of the counter from `start` to `end`, in seconds.
 
-    lost: connections are refused; silent: calls are taken and neither added nor answered; slow: each answer
-    takes `figure` s longer; answers: that share of the answers is lost after the adding; split: ingress 0
-    sees one copy and the others another, and the first copy outlives the split; empty, older: replaced at
-    `start` by nothing, or by its own state of `figure` s before; flap: lost every other `figure` s; part: one
-    part is lost; restart: ingress 1 starts anew at `start`.
+    lost: connections are refused.  silent: calls are accepted but neither added nor answered.  slow: each reply
+    takes `figure` s longer.  answers: the share `figure` of the replies is lost after the addition.  split:
+    ingress 0 uses one copy and the others another; the first copy remains after the split.  empty, older: at
+    `start` the state becomes empty, or that of `figure` s before.  flap: the counter is lost every other
+    `figure` s.  part: one part is lost.  restart: ingress 1 restarts at `start`.
     """
 
     kind: str
@@ -96,9 +99,11 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Units by plan: sent on, sent on beyond the quota, refused, and refused with room in the true store.
-    `allowed` is what the quotas of the customers in question gave in the run; `ceiling` the most units that a
-    ceiling's store was short of nothing, beyond its slack."""
+    """Units by plan: forwarded, forwarded beyond the quota, refused, and refused with room in the true store.
+
+    `allowed` is the number of units that the customers' quotas allowed during the run.  `ceiling` is the highest
+    number of units by which a ceiling's store fell below zero, beyond its slack.
+    """
 
     sent: Counter[str] = field(default_factory=Counter)
     over: Counter[str] = field(default_factory=Counter)
@@ -109,11 +114,11 @@
     calls: int = 0
     answered: int = 0
     ceiling: float = 0.0
-    came_about: Counter[str] = field(default_factory=Counter)
+    occurred: Counter[str] = field(default_factory=Counter)
 
 
 class Store:
-    """A customer's quota and ceiling as one who sees all sends would keep them."""
+    """A customer's quota and ceiling, updated with the requests forwarded by all ingresses."""
 
     def __init__(self, plan: Plan, now: float) -> None:
         self.plan, self.at = plan, now
@@ -125,7 +130,7 @@
         self.ceiling = min(self.plan.ceiling_burst, self.ceiling + self.plan.ceiling_rate * gap)
 
     def take(self, now: float, units: float) -> bool:
-        """Whether the units were inside the quota; only then they are taken from it."""
+        """Takes the units from the quota if it has them; returns whether it did."""
         self.fill(now)
         self.ceiling -= units
         if self.level < units - 1e-9:
@@ -138,29 +143,32 @@
 class Customer:
     name: str
     plan: Plan
-    rate: float  # tries a second
+    rate: float  # tries per second
     first: int
     weights: list[float]
 
 
 class Replica:
-    """One copy of the counter's totals, with its parts' queues."""
+    """One copy of the counter's totals, with the queues of its parts."""
 
     def __init__(self, parts: int) -> None:
         self.totals: dict[int, tuple[float, float]] = {}
-        self.free = [0.0] * parts
+        self.free_at = [0.0] * parts
 
-    def add(self, name: int, amount: float, life: float, now: float) -> float:
-        total, ends = self.totals.get(name, (0.0, 0.0))
-        if ends <= now:
-            total, ends = 0.0, now + min(life, LIFE)
-        self.totals[name] = total + amount, ends
+    def add(self, name: int, amount: float, lifetime: float, now: float) -> float:
+        total, expires_at = self.totals.get(name, (0.0, 0.0))
+        if expires_at <= now:
+            total, expires_at = 0.0, now + min(lifetime, MAX_LIFETIME)
+        self.totals[name] = total + amount, expires_at
         return float(f"{total + amount:.7g}")
 
 
 class Decider(Protocol):
-    """An ingress's quota decisions.  `ask` tells whether a try is sent on at once; None: later, through
-    `World.sent` or `World.refused`."""
+    """An ingress's quota decisions.
+
+    `ask` returns whether a try is forwarded; None if the decision follows later, through `World.sent` or
+    `World.refused`.
+    """
 
     def ask(self, now: float, name: str, customer: Customer) -> bool | None: ...
 
@@ -168,7 +176,7 @@
 
 
 class World:
-    """One run.  `make` gives the decider of an ingress by its number."""
+    """One run.  `make` returns the decider of the ingress with a number."""
 
     def __init__(
         self,
@@ -179,8 +187,8 @@
     ) -> None:
         self.size, self.troubles, self.make = size, troubles, make
         self.seed, self.now, self.order = seed, 0.0, 0
-        # What is asked is drawn apart, so that all subjects are asked the very same.
-        self.rng, self.draw = random.Random(f"quota {seed}"), random.Random(f"answers {seed}")
+        # Requests use a separate generator, so that all subjects receive the same requests.
+        self.rng, self.fault_rng = random.Random(f"quota {seed}"), random.Random(f"answers {seed}")
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.tally = Tally()
         self.replicas = [Replica(size.parts)]
@@ -188,12 +196,12 @@
         self.stores: dict[str, Store] = {}
         self.waiting: dict[str, Customer] = {}
         self.customers = self._customers()
-        self.number, self.lives = 0, [0] * size.ingresses
+        self.number, self.incarnations = 0, [0] * size.ingresses
         self.ingresses = [make(self, n) for n in range(size.ingresses)]
 
     def _customers(self) -> list[Customer]:
-        """Customers whose demand adds up to the rate, by the plans' shares."""
-        found, rng = [], self.rng
+        """Returns customers whose demand adds up to the rate, by the plans' shares."""
+        customers, rng = [], self.rng
         for plan in PLANS:
             budget: float = SHARES[plan.name] * self.size.rate
             number = 0
@@ -207,7 +215,7 @@
                 rate = min(rate, budget + 0.01)
                 budget -= rate
                 number += 1
-                found.append(
+                customers.append(
                     Customer(
                         f"{plan.name}-{number}",
                         plan,
@@ -216,51 +224,51 @@
                         self._weights(),
                     )
                 )
-        return found
+        return customers
 
     def _weights(self) -> list[float]:
         return [self.rng.expovariate(1.0) for _ in range(self.size.spread)]
 
-    def later(self, delay: float, what: Callable[..., None], *args: Any) -> None:
+    def later(self, delay: float, callback: Callable[..., None], *args: Any) -> None:
         self.order += 1
-        heapq.heappush(self.heap, (self.now + max(0.0, delay), self.order, what, args))
+        heapq.heappush(self.heap, (self.now + max(0.0, delay), self.order, callback, args))
 
     def play(self) -> Tally:
         size = self.size
         for customer in self.customers:
-            self.later(self.rng.expovariate(customer.rate), self._come, customer)
-            self.later(self.rng.uniform(0, SHIFT), self._shift, customer)
+            self.later(self.rng.expovariate(customer.rate), self._request, customer)
+            self.later(self.rng.uniform(0, SHIFT_INTERVAL), self._shift, customer)
             self.stores[customer.name] = Store(customer.plan, 0.0)
             self.tally.allowed[customer.plan.name] += (
                 customer.plan.burst + customer.plan.rate * size.seconds
             )
         for trouble in self.troubles:
-            self.later(trouble.start, self._begin, trouble)
-        self.later(0.5, self._keep)
+            self.later(trouble.start, self._start_trouble, trouble)
+        self.later(0.5, self._record_history)
         while self.heap and self.heap[0][0] <= size.seconds + 2.0:
-            self.now, _, what, args = heapq.heappop(self.heap)
-            what(*args)
+            self.now, _, callback, args = heapq.heappop(self.heap)
+            callback(*args)
         return self.tally
 
-    # What is asked
+    # Requests
 
     def _shift(self, customer: Customer) -> None:
         customer.weights = self._weights()
-        self.later(SHIFT, self._shift, customer)
+        self.later(SHIFT_INTERVAL, self._shift, customer)
 
-    def _come(self, customer: Customer) -> None:
+    def _request(self, customer: Customer) -> None:
         if self.now > self.size.seconds:
             return
-        self.later(self.rng.expovariate(customer.rate), self._come, customer)
+        self.later(self.rng.expovariate(customer.rate), self._request, customer)
         self.number += 1
         self.tally.asked += 1
         name = str(self.number)
         place = self.rng.choices(range(self.size.spread), customer.weights)[0]
         number = (customer.first + place) % self.size.ingresses
         self.waiting[name] = customer
-        said = self.ingresses[number].ask(self.now, name, customer)
-        if said is not None:
-            self.sent(number, name) if said else self.refused(name)
+        forwarded = self.ingresses[number].ask(self.now, name, customer)
+        if forwarded is not None:
+            self.sent(number, name) if forwarded else self.refused(name)
 
     def sent(self, number: int, name: str) -> None:
         customer = self.waiting.pop(name, None)
@@ -274,10 +282,16 @@
             self.tally.ceiling = max(
                 self.tally.ceiling, -store.ceiling - customer.plan.ceiling_slack
             )
-        self.later(self.draw.uniform(*SERVED), self._served, number, self.lives[number], name)
+        self.later(
+            self.fault_rng.uniform(*SERVICE_TIME),
+            self._served,
+            number,
+            self.incarnations[number],
+            name,
+        )
 
-    def _served(self, number: int, life: int, name: str) -> None:
-        if life == self.lives[number]:
+    def _served(self, number: int, incarnation: int, name: str) -> None:
+        if incarnation == self.incarnations[number]:
             self.ingresses[number].ended(self.now, name)
 
     def refused(self, name: str) -> None:
@@ -291,28 +305,28 @@
 
     # The counter
 
-    def _keep(self) -> None:
-        """Remembers the totals, for a copy that is older."""
+    def _record_history(self) -> None:
+        """Records the totals for the fault `older`."""
         self.history.append((self.now, dict(self.replicas[0].totals)))
-        self.later(0.5, self._keep)
+        self.later(0.5, self._record_history)
 
-    def _begin(self, trouble: Trouble) -> None:
-        self.tally.came_about[trouble.kind] += 1
+    def _start_trouble(self, trouble: Trouble) -> None:
+        self.tally.occurred[trouble.kind] += 1
         if trouble.kind == "split":
             copy = Replica(self.size.parts)
             copy.totals = dict(self.replicas[0].totals)
             self.replicas.append(copy)
-            self.later(trouble.end - self.now, self._heal)
+            self.later(trouble.end - self.now, self._end_split)
         elif trouble.kind == "empty":
             self.replicas[0].totals.clear()
         elif trouble.kind == "older":
-            kept = [totals for at, totals in self.history if at <= self.now - trouble.figure]
-            self.replicas[0].totals = dict(kept[-1]) if kept else {}
+            older = [totals for at, totals in self.history if at <= self.now - trouble.figure]
+            self.replicas[0].totals = dict(older[-1]) if older else {}
         elif trouble.kind == "restart":
-            self.lives[1] += 1
+            self.incarnations[1] += 1
             self.ingresses[1] = self.make(self, 1)
 
-    def _heal(self) -> None:
+    def _end_split(self) -> None:
         del self.replicas[1:]
 
     def active(self, kind: str) -> Trouble | None:
@@ -323,8 +337,8 @@
     def replica(self, number: int) -> Replica:
         return self.replicas[1 if len(self.replicas) > 1 and number else 0]
 
-    def out(self, name: int) -> bool:
-        """Whether connections to the part that holds the name are refused."""
+    def is_unreachable(self, name: int) -> bool:
+        """Returns whether connections to the part that holds the name are refused."""
         flap = self.active("flap")
         return (
             self.active("lost") is not None
@@ -340,68 +354,75 @@
         number: int,
         name: int,
         amount: float,
-        life: float,
-        told: Callable[[Outcome, float, float], None],
+        lifetime: float,
+        on_reply: Callable[[Outcome, float, float], None],
     ) -> None:
-        """A call; `told` hears its outcome, its total and its time once, and a late total once more."""
+        """Calls the counter.
+
+        `on_reply` receives the outcome, the total and the latency once, and again for a reply after the timeout.
+        """
         self.tally.calls += 1
-        made = self.now
-        if self.out(name):
-            self.later(WAY, told, Outcome.CONNECT_FAILED, 0.0, WAY)
+        called_at = self.now
+        if self.is_unreachable(name):
+            self.later(NETWORK_DELAY, on_reply, Outcome.CONNECT_FAILED, 0.0, NETWORK_DELAY)
             return
-        state = {"told": False}
+        state = {"answered": False}
 
-        def tell(outcome: Outcome, total: float) -> None:
-            if outcome is Outcome.TIMEOUT and state["told"]:
+        def report(outcome: Outcome, total: float) -> None:
+            if outcome is Outcome.TIMEOUT and state["answered"]:
                 return
-            self.tally.answered += outcome is Outcome.OK and not state["told"]
-            state["told"] = True
-            told(outcome, total, self.now - made)
+            self.tally.answered += outcome is Outcome.OK and not state["answered"]
+            state["answered"] = True
+            on_reply(outcome, total, self.now - called_at)
 
-        self.later(TIMEOUT, tell, Outcome.TIMEOUT, 0.0)
+        self.later(TIMEOUT, report, Outcome.TIMEOUT, 0.0)
         if self.active("silent") is None:
-            self.later(WAY, self._arrive, number, name, amount, life, tell)
+            self.later(NETWORK_DELAY, self._arrive, number, name, amount, lifetime, report)
 
     def _arrive(
         self,
         number: int,
         name: int,
         amount: float,
-        life: float,
-        tell: Callable[[Outcome, float], None],
+        lifetime: float,
+        report: Callable[[Outcome, float], None],
     ) -> None:
         replica, part = self.replica(number), self.part(name)
-        if replica.free[part] > self.now + BEHIND:
-            self.later(WAY, tell, Outcome.OVERLOADED, 0.0)
+        if replica.free_at[part] > self.now + MAX_BACKLOG:
+            self.later(NETWORK_DELAY, report, Outcome.OVERLOADED, 0.0)
             return
-        replica.free[part] = (
-            max(self.now, replica.free[part]) + self.size.parts / self.size.counter_rate
+        replica.free_at[part] = (
+            max(self.now, replica.free_at[part]) + self.size.parts / self.size.counter_rate
+        )
+        self.later(
+            replica.free_at[part] - self.now, self._add, replica, name, amount, lifetime, report
         )
-        self.later(replica.free[part] - self.now, self._add, replica, name, amount, life, tell)
 
     def _add(
         self,
         replica: Replica,
         name: int,
         amount: float,
-        life: float,
-        tell: Callable[[Outcome, float], None],
+        lifetime: float,
+        report: Callable[[Outcome, float], None],
     ) -> None:
-        total = replica.add(name, amount, life, self.now)
+        total = replica.add(name, amount, lifetime, self.now)
         slow, answers = self.active("slow"), self.active("answers")
-        if answers is not None and self.draw.random() < answers.figure:
+        if answers is not None and self.fault_rng.random() < answers.figure:
             return
-        self.later(WAY + (slow.figure if slow is not None else 0.0), tell, Outcome.OK, total)
+        self.later(
+            NETWORK_DELAY + (slow.figure if slow is not None else 0.0), report, Outcome.OK, total
+        )
 
 
 # Deciders
 
 
-class Module:
-    """The decision module as it is."""
+class GatewayDecider:
+    """The real Gateway."""
 
     def __init__(self, world: World, number: int) -> None:
-        self.world, self.number, self.out = world, number, dict[str, tuple[str, float]]()
+        self.world, self.number, self.in_flight = world, number, dict[str, tuple[str, float]]()
         settings = Settings(
             CLASSES,
             PLANS,
@@ -415,32 +436,32 @@
         self.gateway = Gateway(settings, world.seed * 1000 + number)
         servers = tuple(Backend(f"s{n}") for n in range(12))
         self.feed(BackendsChanged(EndpointListKind.RESTORED, servers))
-        self.gateway.load_balancer.concurrency.limit = 1e6  # servers are not what is looked at
+        self.gateway.load_balancer.concurrency.limit = 1e6  # only quotas are measured
 
     def feed(self, event: Event) -> None:
-        world, life = self.world, self.world.lives[self.number]
+        world, incarnation = self.world, self.world.incarnations[self.number]
         for action in self.gateway.handle(world.now, event):
             match action:
                 case StartAttempt(request_id=name, backend=backend):
-                    self.out[name] = backend, world.now
+                    self.in_flight[name] = backend, world.now
                     world.sent(self.number, name)
                 case RejectRequest(request_id=name) | FailRequest(request_id=name):
                     world.refused(name)
                 case SetTimer(delay=delay, token=token):
-                    world.later(delay, self.if_alive, life, TimerFired(token))
+                    world.later(delay, self.if_alive, incarnation, TimerFired(token))
                 case AddToCounter(key=name, amount=add, lifetime=lifetime):
-                    self.count(life, name, add, lifetime)
+                    self.count(incarnation, name, add, lifetime)
                 case _:
                     pass
 
-    def count(self, life: int, name: int, add: float, lifetime: float) -> None:
-        def told(outcome: Outcome, total: float, latency: float) -> None:
-            self.if_alive(life, CounterReply(name, outcome, total, latency))
+    def count(self, incarnation: int, name: int, add: float, lifetime: float) -> None:
+        def on_reply(outcome: Outcome, total: float, latency: float) -> None:
+            self.if_alive(incarnation, CounterReply(name, outcome, total, latency))
 
-        self.world.call(self.number, name, add, lifetime, told)
+        self.world.call(self.number, name, add, lifetime, on_reply)
 
-    def if_alive(self, life: int, event: Event) -> None:
-        if self.world.lives[self.number] == life:
+    def if_alive(self, incarnation: int, event: Event) -> None:
+        if self.world.incarnations[self.number] == incarnation:
             self.feed(event)
 
     def ask(self, now: float, name: str, customer: Customer) -> bool | None:
@@ -459,12 +480,12 @@
         return None
 
     def ended(self, now: float, name: str) -> None:
-        backend, sent = self.out.pop(name)
+        backend, sent = self.in_flight.pop(name)
         self.feed(AttemptEnded(name, 0, backend, Outcome.OK, now - sent, True))
 
 
-class Even:
-    """Each ingress grants an even slice of rate and burst, and knows of no other."""
+class EvenSlices:
+    """Each ingress grants an even slice of rate and burst, without knowledge of the others."""
 
     def __init__(self, world: World, number: int) -> None:
         self.parts = world.size.spread
@@ -475,16 +496,16 @@
         cap = max(1.0, plan.burst / self.parts)
         level, at = self.stores.get(customer.name, (cap, now))
         level = min(cap, level + plan.rate / self.parts * (now - at))
-        fits = level >= 1.0
-        self.stores[customer.name] = level - (1.0 if fits else 0.0), now
-        return fits
+        admitted = level >= 1.0
+        self.stores[customer.name] = level - (1.0 if admitted else 0.0), now
+        return admitted
 
     def ended(self, now: float, name: str) -> None:
         pass
 
 
-class Open:
-    """Keeps each customer's store on the counter, exactly; lets all in when there is no answer in time."""
+class FailOpen:
+    """Keeps each customer's exact store on the counter; admits all requests if it doesn't reply in time."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number = world, number
@@ -493,27 +514,27 @@
         world, key = self.world, crc32(customer.name.encode())
         slow, answers = world.active("slow"), world.active("answers")
         if (
-            world.out(key)
+            world.is_unreachable(key)
             or world.active("silent")
             or (slow is not None and slow.figure > TIMEOUT)
-            or (answers is not None and world.draw.random() < answers.figure)
+            or (answers is not None and world.fault_rng.random() < answers.figure)
         ):
             return True
-        # The store lies on the copy that this ingress sees; a new copy begins with what the old one held.
+        # The store is on the copy that this ingress uses; a new copy starts with the state of the old one.
         replica = world.replica(self.number)
         rate, burst = customer.plan.rate, customer.plan.burst
         level, at = replica.totals.get(key, (burst, now))
         level = min(burst, level + rate * (now - at))
-        fits = level >= 1.0
-        replica.totals[key] = level - (1.0 if fits else 0.0), now
-        return fits
+        admitted = level >= 1.0
+        replica.totals[key] = level - (1.0 if admitted else 0.0), now
+        return admitted
 
     def ended(self, now: float, name: str) -> None:
         pass
 
 
 class Perfect:
-    """One who sees all: the true store itself."""
+    """Decides by the true store itself, with complete knowledge."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world = world
@@ -528,8 +549,8 @@
 
 
 SUBJECTS: dict[str, Callable[[World, int], Decider]] = {
-    "module": Module,
-    "fail-open": Open,
-    "even slices": Even,
+    "module": GatewayDecider,
+    "fail-open": FailOpen,
+    "even slices": EvenSlices,
     "perfect": Perfect,
 }
--- a/benchmarks/ratios.py
+++ b/benchmarks/ratios.py
@@ -1,4 +1,4 @@
-"""What the benchmarks tell of ratios that were made round by round."""
+"""Statistics of the ratios that benchmarks compute in each round."""
 
 from __future__ import annotations
 
@@ -7,8 +7,12 @@
 
 
 def spread(ratios: Iterable[float]) -> tuple[float, float, float]:
-    """The median, the lowest and the highest.  Raises ValueError where there is none."""
+    """Returns the median, the lowest and the highest ratio.
+
+    Raises:
+        ValueError: There are no ratios.
+    """
     ordered = sorted(ratios)
     if not ordered:
-        raise ValueError("no round to tell of")
+        raise ValueError("no ratios: no round was played")
     return median(ordered), ordered[0], ordered[-1]
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
-"""The floor that `benchmarks.cost` compares with: a relay on uvloop and hiredis that decides nothing.
+"""The baseline of `benchmarks.cost`: a relay on uvloop and hiredis without any admission decisions.
 
-`python -m benchmarks.relay HOST:PORT HOST:PORT...` listens on the first address and deals out commands round
-the others, pipelined on one connection each.  It has no deadline, no limit and no second attempt.
+`python -m benchmarks.relay HOST:PORT HOST:PORT...` listens on the first address and forwards commands to the
+others in turn, pipelined on one connection each.  It has no deadlines, limits or retries.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Server(asyncio.Protocol):
-    """One connection to a server; answers come in the order of the commands."""
+    """A connection to a server, which answers in the order of the commands."""
 
     def __init__(self) -> None:
         self.reader = hiredis.Reader()
@@ -42,7 +42,7 @@
 
 
 class Client(asyncio.Protocol):
-    """One connection of a client."""
+    """A connection of a client."""
 
     def __init__(self, servers: cycle[Server]) -> None:
         self.reader, self.servers = hiredis.Reader(), servers
@@ -67,8 +67,10 @@
 
 async def serve(listen: Address, addresses: Sequence[Address]) -> None:
     loop = asyncio.get_running_loop()
-    made = [(await loop.create_connection(Server, *there))[1] for there in addresses]
-    servers = cycle(made)
+    connections = [
+        (await loop.create_connection(Server, *server_address))[1] for server_address in addresses
+    ]
+    servers = cycle(connections)
     await (await loop.create_server(lambda: Client(servers), *listen)).serve_forever()
 
 
--- a/benchmarks/revisions.py
+++ b/benchmarks/revisions.py
@@ -1,4 +1,4 @@
-"""How to start the program of another revision, whatever its package was called then."""
+"""Finds the names needed to start another revision of the program, whose package may differ."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
         ValueError: Its `run` line starts no Python module.
     """
     command = tomllib.loads((tree / DEPLOY_FILE).read_text(encoding="utf-8"))["run"]
-    found = RUN_MODULE.search(command)
-    if found is None:
-        raise ValueError(f"{tree / DEPLOY_FILE}: run: {command!r} names no module by -m")
-    return found[1]
+    match = RUN_MODULE.search(command)
+    if match is None:
+        raise ValueError(f"{tree / DEPLOY_FILE}: run: {command!r} has no -m MODULE")
+    return match[1]
 
 
 def compilation_switch(tree: Path) -> str:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,13 +1,13 @@
-"""What handover brings and costs, with real ingresses, kills drawn from seeds, and stand-ins for all else.
+"""Measures the benefit and cost of handover with real ingresses, random kills and simulated peers.
 
     python -m benchmarks.takeover outcomes --seeds 30
     python -m benchmarks.takeover cost --rounds 5
     python -m benchmarks.takeover recovery --count 100000
 
-outcomes: of the submissions in hand at the loss of an ingress, the share whose client got the true outcome
-within its next repeat, with and without handover; for clients that come back soon, and after the servers'
-memory of keys has ended.  cost: a submission's time and the ingresses' CPU, interleaved.
-recovery: a start from a store with so many in hand.
+outcomes: the share of the submissions in flight at the loss of an ingress whose client received the true
+outcome within its next retry.  It compares handover on and off, and clients that retry soon with clients that
+retry after the servers have forgotten the keys.  cost: the latency of a submission and the CPU of the
+ingresses, in interleaved rounds.  recovery: the start of a store with `--count` records.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 from tests.handover_clients import ClientOutcome, HandoverFleet
 
 INGRESSES = 5
-IN_HAND = 4  # submissions out at the ingress that is lost: half of the servers' cores
-WAYS: dict[str, dict[str, Any] | None] = {
+IN_FLIGHT = 4  # submissions at the lost ingress: half of the servers' cores
+MODES: dict[str, dict[str, Any] | None] = {
     "off": None,
     "copies 1": {"copies": 1},
     "copies 2": {"copies": 2},
@@ -50,7 +50,7 @@
 }
 
 
-START = """
+RECOVERY_SCRIPT = """
 import os, sys, time
 from pathlib import Path
 from ingress.handover import record_codec
@@ -68,10 +68,10 @@
 """
 
 
-async def stand(
+async def run_fleet(
     name: str, seed: int, case: Any, rate: float, busy: float = 0.2
 ) -> tuple[World, Any]:
-    way = WAYS[name]
+    mode = MODES[name]
     with tempfile.TemporaryDirectory(prefix="takeover-") as folder:
         deployment = Deployment(ingresses=INGRESSES, servers=4, rate=rate, busy=busy)
         world = World(
@@ -79,13 +79,13 @@
             Path(folder),
             f"exec {sys.executable} -m ingress",
         )
-        crew = Crew(world, Path(folder), "store" in name, forget_s=8.0, **(way or {}))
+        crew = Crew(world, Path(folder), "store" in name, forget_s=8.0, **(mode or {}))
         try:
-            if way is not None:
+            if mode is not None:
                 await crew.open()
             await world.open()
             fleet = HandoverFleet(world, crew)
-            if way is not None:
+            if mode is not None:
                 await fleet.wait_until_complete()
             playing = asyncio.create_task(world.play())
             result = await case(fleet)
@@ -97,29 +97,29 @@
 
 
 async def losses(fleet: HandoverFleet, seed: int, late: bool, two: bool) -> Counter[str]:
-    """Kills or stops an ingress, or two, with submissions in hand; what the clients get."""
+    """Kills or pauses one or two ingresses with submissions in flight; returns the clients' outcomes."""
     rng, found = random.Random(f"losses {seed} {late} {two}"), Counter[str]()
     lost = rng.sample(range(INGRESSES), 2 if two else 1)
-    left = [n for n in range(INGRESSES) if n not in lost]
-    for number in lost * 4:  # what has answered nothing yet is not sent much at once
+    remaining = [n for n in range(INGRESSES) if n not in lost]
+    for number in lost * 4:  # an ingress without responses yet receives few concurrent requests
         await fleet.submit(number, fleet.new_key())
     fleet.slow_down(15.0)
-    keys = [fleet.new_key() for _ in range(IN_HAND)]
+    keys = [fleet.new_key() for _ in range(IN_FLIGHT)]
     tries = [asyncio.create_task(fleet.submit(rng.choice(lost), key)) for key in keys]
-    end = time.monotonic() + 1.0  # what an ingress refuses is not in hand
-    while sum(bool(fleet.arrivals(key)) for key in keys) < IN_HAND and time.monotonic() < end:
+    end = time.monotonic() + 1.0  # submissions that an ingress refuses are not in flight
+    while sum(bool(fleet.arrivals(key)) for key in keys) < IN_FLIGHT and time.monotonic() < end:
         await asyncio.sleep(0.02)
-    out = [key for key in keys if fleet.arrivals(key)]
+    in_flight = [key for key in keys if fleet.arrivals(key)]
     stopped = rng.random() < 0.3
     for number in lost:
         (fleet.pause if stopped else fleet.kill)(number)
     fleet.slow_down(1.0)
     await asyncio.sleep(5.0 if late else 0.3)
-    # The clients of one that stands still go away, those of one that died see it at once.
-    sent = {key: len(fleet.arrivals(key)) for key in out}
+    # Clients of a paused ingress give up; clients of a killed ingress notice at once.
+    sent = {key: len(fleet.arrivals(key)) for key in in_flight}
 
-    async def come_back(key: str) -> None:
-        got: ClientOutcome = await fleet.submit_until_final(rng.choice(left), key, 2.5)
+    async def retry(key: str) -> None:
+        got: ClientOutcome = await fleet.submit_until_final(rng.choice(remaining), key, 2.5)
         true = (
             got.kind == "served" and got.value in fleet.responses(key) and fleet.effects(key) == 1
         )
@@ -128,35 +128,37 @@
         found["stopped" if stopped else "killed"] += 1
         found["sent again"] += len(fleet.arrivals(key)) > sent[key]
 
-    await asyncio.gather(*map(come_back, out))
+    await asyncio.gather(*map(retry, in_flight))
     if stopped:
         for number in lost:
             fleet.resume(number)
     await asyncio.gather(*tries)
-    found["twice later"] += sum(fleet.effects(key) > 1 for key in out)
+    found["twice later"] += sum(fleet.effects(key) > 1 for key in in_flight)
     return found
 
 
-async def submissions(fleet: HandoverFleet, count: int, side: int) -> tuple[list[float], float]:
-    """Seconds of each, and the ingresses' CPU seconds; `side` at one time."""
+async def submissions(
+    fleet: HandoverFleet, count: int, concurrency: int
+) -> tuple[list[float], float]:
+    """Returns the seconds of each submission and the ingresses' CPU seconds, `concurrency` at a time."""
 
     def cpu() -> float:
         for ingress in fleet.world.ingresses:
             ingress.sample()
         return sum(ingress.cpu for ingress in fleet.world.ingresses)
 
-    took: list[float] = []
+    latencies: list[float] = []
 
-    async def one(number: int) -> None:
-        for _ in range(count // side):
+    async def submit_all(number: int) -> None:
+        for _ in range(count // concurrency):
             key, start = fleet.new_key(), time.perf_counter()
             got = await fleet.submit(number % INGRESSES, key)
             if got.kind == "served":
-                took.append(time.perf_counter() - start)
+                latencies.append(time.perf_counter() - start)
 
     before = cpu()
-    await asyncio.gather(*map(one, range(side)))
-    return took, cpu() - before
+    await asyncio.gather(*map(submit_all, range(concurrency)))
+    return latencies, cpu() - before
 
 
 def outcomes(args: argparse.Namespace) -> list[dict[str, Any]]:
@@ -167,7 +169,7 @@
                 total, breaches = Counter[str](), 0
                 for seed in range(1, args.seeds + 1):
                     world, found = uvloop.run(
-                        stand(
+                        run_fleet(
                             name,
                             seed,
                             lambda fleet, s=seed, w=late, t=two: losses(fleet, s, w, t),
@@ -185,14 +187,14 @@
                         file=sys.stderr,
                         flush=True,
                     )
-                hand = total["killed"] + total["stopped"]
+                in_flight = total["killed"] + total["stopped"]
                 table.append(
                     {
                         "lost": 1 + two,
                         "way": name,
                         "comes back": "after 5 s" if late else "after 0.3 s",
-                        "in hand": hand,
-                        "true": round(total["true"] / max(1, hand), 3),
+                        "in hand": in_flight,
+                        "true": round(total["true"] / max(1, in_flight), 3),
                         "breaches": breaches,
                         **dict(total),
                     }
@@ -201,18 +203,20 @@
 
 
 def cost(args: argparse.Namespace) -> list[dict[str, Any]]:
-    found: dict[str, list[tuple[float, float, float]]] = {name: [] for name in WAYS}
+    found: dict[str, list[tuple[float, float, float]]] = {name: [] for name in MODES}
     for number in range(args.rounds):
-        for name in WAYS:
-            _, (took, cpu) = uvloop.run(
-                stand(name, number, lambda fleet: submissions(fleet, args.count, 10), 5.0, 0.002)
+        for name in MODES:
+            _, (latencies, cpu) = uvloop.run(
+                run_fleet(
+                    name, number, lambda fleet: submissions(fleet, args.count, 10), 5.0, 0.002
+                )
             )
-            took.sort()
+            latencies.sort()
             found[name].append(
                 (
-                    1000 * percentile(took, 0.5),
-                    1000 * percentile(took, 0.99),
-                    1e6 * cpu / max(1, len(took)),
+                    1000 * percentile(latencies, 0.5),
+                    1000 * percentile(latencies, 0.99),
+                    1e6 * cpu / max(1, len(latencies)),
                 )
             )
             print(f"\rround {number + 1}: {name}", end="", file=sys.stderr, flush=True)
@@ -254,9 +258,12 @@
                 store.commit()
         store.commit()
         store.close()
-        # What is measured is a process of its own, as a start is.
+        # Measured in a separate process, like a real start.
         done = subprocess.run(
-            [sys.executable, "-c", START, folder], capture_output=True, text=True, check=True
+            [sys.executable, "-c", RECOVERY_SCRIPT, folder],
+            capture_output=True,
+            text=True,
+            check=True,
         )
     count, seconds, memory = done.stdout.split()
     return [{"records": int(count), "s": round(float(seconds), 2), "MB": round(float(memory))}]
@@ -269,12 +276,14 @@
     parser.add_argument("what", choices=["outcomes", "cost", "recovery"])
     parser.add_argument("--seeds", type=int, default=30)
     parser.add_argument("--rounds", type=int, default=3)
-    parser.add_argument("--count", type=int, default=1500, help="submissions of a round")
+    parser.add_argument(
+        "--count", type=int, default=1500, help="submissions per round, or stored records"
+    )
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
-    told = {"outcomes": outcomes, "cost": cost, "recovery": recovery}[args.what](args)
+    table = {"outcomes": outcomes, "cost": cost, "recovery": recovery}[args.what](args)
     print(file=sys.stderr)
-    for row in told:
+    for row in table:
         print(json.dumps(row) if args.json else "  ".join(f"{k} {v}" for k, v in row.items()))
     return 0
 
