--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -278,23 +278,23 @@
 
 
 def subjects(stack: ExitStack, commits: Sequence[str]) -> list[Subject]:
-    found = [Subject(RELAY, ROOT, {}), Subject("interpreted", ROOT, {MODE_VARIABLE: "off"})]
+    tested = [Subject(RELAY, ROOT, {}), Subject("interpreted", ROOT, {MODE_VARIABLE: "off"})]
     if checkout_form().compiled:
-        found.append(Subject("compiled", ROOT, {MODE_VARIABLE: "require"}))
+        tested.append(Subject("compiled", ROOT, {MODE_VARIABLE: "require"}))
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="cost-")))
     for commit in commits:
         tree = stack.enter_context(checked_out(commit, folder / commit))
-        found.append(Subject(commit, tree, {compilation_switch(tree): "off"}))
-    return found
+        tested.append(Subject(commit, tree, {compilation_switch(tree): "off"}))
+    return tested
 
 
 def checkout_form() -> Form:
     """Returns the form that a new process of this checkout uses."""
     code = "from ingress.compilation import use; form = use('auto'); print(int(form.compiled), form.detail)"
-    done = subprocess.run(
+    completed = subprocess.run(
         (sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True
     )
-    compiled, _, detail = done.stdout.strip().partition(" ")
+    compiled, _, detail = completed.stdout.strip().partition(" ")
     return Form(compiled == "1", detail)
 
 
@@ -307,7 +307,7 @@
     rows: list[dict[str, Any]] = []
     for case in cases:
         for name in names:
-            found = [row[case.name, name] for row in rounds]
+            figures = [row[case.name, name] for row in rounds]
             ratio, lowest, highest = spread(
                 row[case.name, name]["cpu_us"] / row[case.name, RELAY]["cpu_us"] for row in rounds
             )
@@ -319,7 +319,7 @@
                     "lowest": lowest,
                     "highest": highest,
                 }
-                | {key: median(x[key] for x in found) for key in FIGURES}
+                | {key: median(x[key] for x in figures) for key in FIGURES}
             )
     return rows
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -36,9 +36,7 @@
 from ingress.transport.backend_protocol import BackendProtocol, MalformedResponseError
 from ingress.transport.client_protocol import ClientProtocol, MalformedFrameError
 
-KEPT_MOST = (
-    4 * 1024 * 1024
-)  # bytes that a codec may hold after any input: a few times its largest response
+KEPT_MOST = 4 * 1024 * 1024  # bytes held by a codec; a few times its largest response
 SETTINGS = Settings(
     classes=(
         RequestClass("read", 1.0, 4.0),
@@ -223,7 +221,9 @@
             worst = max(worst, tracemalloc.get_traced_memory()[1])
             tracemalloc.reset_peak()
             if worst > KEPT_MOST:
-                raise AssertionError(f"{name}, seed {seed}, inputs to {inputs}: {worst} bytes held")
+                raise AssertionError(
+                    f"{name}, seed {seed}, inputs up to {inputs}: {worst} bytes held"
+                )
     worst = max(worst, tracemalloc.get_traced_memory()[1])
     tracemalloc.stop()
     return inputs, errors, worst
--- a/benchmarks/quota_trouble.py
+++ b/benchmarks/quota_trouble.py
@@ -76,15 +76,15 @@
     rows: list[dict[str, Any]] = []
     for case in cases:
         for subject in SUBJECTS:
-            found = [run for run in runs if run["case"] == case and run["subject"] == subject]
-            if found:
+            selected = [run for run in runs if run["case"] == case and run["subject"] == subject]
+            if selected:
                 rows.append(
                     {"case": case, "subject": subject}
                     | {
                         key: (
-                            median(run[key] for run in found),
-                            min(run[key] for run in found),
-                            max(run[key] for run in found),
+                            median(run[key] for run in selected),
+                            min(run[key] for run in selected),
+                            max(run[key] for run in selected),
                         )
                         for key in (
                             "over",
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -7,7 +7,7 @@
 outcomes: the share of the submissions in flight at the loss of an ingress whose client received the true
 outcome within its next retry.  It compares handover on and off, and clients that retry soon with clients that
 retry after the servers have forgotten the keys.  cost: the latency of a submission and the CPU of the
-ingresses, in interleaved rounds.  recovery: the start of a store with `--count` records.
+ingresses, in interleaved rounds.  recovery: a start from a store with `--count` submissions in flight.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
 
 async def losses(fleet: HandoverFleet, seed: int, late: bool, two: bool) -> Counter[str]:
     """Kills or pauses one or two ingresses with submissions in flight; returns the clients' outcomes."""
-    rng, found = random.Random(f"losses {seed} {late} {two}"), Counter[str]()
+    rng, counts = random.Random(f"losses {seed} {late} {two}"), Counter[str]()
     lost = rng.sample(range(INGRESSES), 2 if two else 1)
     remaining = [n for n in range(INGRESSES) if n not in lost]
     for number in lost * 4:  # an ingress without responses yet receives few concurrent requests
@@ -123,18 +123,18 @@
         true = (
             got.kind == "served" and got.value in fleet.responses(key) and fleet.effects(key) == 1
         )
-        found["true" if true else got.kind] += 1
-        found["twice"] += fleet.effects(key) > 1
-        found["stopped" if stopped else "killed"] += 1
-        found["sent again"] += len(fleet.arrivals(key)) > sent[key]
+        counts["true" if true else got.kind] += 1
+        counts["twice"] += fleet.effects(key) > 1
+        counts["stopped" if stopped else "killed"] += 1
+        counts["sent again"] += len(fleet.arrivals(key)) > sent[key]
 
     await asyncio.gather(*map(retry, in_flight))
     if stopped:
         for number in lost:
             fleet.resume(number)
     await asyncio.gather(*tries)
-    found["twice later"] += sum(fleet.effects(key) > 1 for key in in_flight)
-    return found
+    counts["twice later"] += sum(fleet.effects(key) > 1 for key in in_flight)
+    return counts
 
 
 async def submissions(
@@ -168,7 +168,7 @@
             for name in ("off", "copies 2"):
                 total, breaches = Counter[str](), 0
                 for seed in range(1, args.seeds + 1):
-                    world, found = uvloop.run(
+                    world, counts = uvloop.run(
                         run_fleet(
                             name,
                             seed,
@@ -176,10 +176,10 @@
                             20.0,
                         )
                     )
-                    total += found
-                    named = judge(world.record, world.deployment).breaches
-                    breaches += len(named)
-                    for breach in named[:3]:
+                    total += counts
+                    found = judge(world.record, world.deployment).breaches
+                    breaches += len(found)
+                    for breach in found[:3]:
                         print(f"\n{breach}", file=sys.stderr)
                     print(
                         f"\r{1 + two} lost, {name}, {'late' if late else 'soon'}: seed {seed} ",
@@ -203,7 +203,7 @@
 
 
 def cost(args: argparse.Namespace) -> list[dict[str, Any]]:
-    found: dict[str, list[tuple[float, float, float]]] = {name: [] for name in MODES}
+    runs_by_mode: dict[str, list[tuple[float, float, float]]] = {name: [] for name in MODES}
     for number in range(args.rounds):
         for name in MODES:
             _, (latencies, cpu) = uvloop.run(
@@ -212,7 +212,7 @@
                 )
             )
             latencies.sort()
-            found[name].append(
+            runs_by_mode[name].append(
                 (
                     1000 * percentile(latencies, 0.5),
                     1000 * percentile(latencies, 0.99),
@@ -221,12 +221,12 @@
             )
             print(f"\rround {number + 1}: {name}", end="", file=sys.stderr, flush=True)
     table = []
-    for name, runs in found.items():
+    for name, runs in runs_by_mode.items():
         p50, p99, cpu = (median(x) for x in zip(*runs, strict=True))
         ratios = [
             median(a / b for a, b in zip(mine, base, strict=True))
             for mine, base in zip(
-                zip(*runs, strict=True), zip(*found["off"], strict=True), strict=True
+                zip(*runs, strict=True), zip(*runs_by_mode["off"], strict=True), strict=True
             )
         ]
         table.append(
@@ -259,13 +259,13 @@
         store.commit()
         store.close()
         # Measured in a separate process, like a real start.
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", RECOVERY_SCRIPT, folder],
             capture_output=True,
             text=True,
             check=True,
         )
-    count, seconds, memory = done.stdout.split()
+    count, seconds, memory = completed.stdout.split()
     return [{"records": int(count), "s": round(float(seconds), 2), "MB": round(float(memory))}]
 
 
--- a/ingress/compilation/__main__.py
+++ b/ingress/compilation/__main__.py
@@ -69,7 +69,7 @@
         jobs=str(os.cpu_count() or 1),
     )
     (folder / "setup.py").write_text(script, encoding="utf-8")
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "setup.py"],
         cwd=folder,
         capture_output=True,
@@ -77,10 +77,10 @@
         env=os.environ | {"MYPYPATH": ""},
         check=False,
     )
-    if done.returncode:
-        lines = (done.stdout + done.stderr).splitlines()[-MAX_ERROR_LINES:]
+    if completed.returncode:
+        lines = (completed.stdout + completed.stderr).splitlines()[-MAX_ERROR_LINES:]
         raise CompilationError(
-            "\n".join(lines) or f"the compiler exited with status {done.returncode}"
+            "\n".join(lines) or f"the compiler exited with status {completed.returncode}"
         )
 
 
--- a/tests/golden_cases/reports.py
+++ b/tests/golden_cases/reports.py
@@ -126,7 +126,7 @@
 
 async def _counts() -> dict[str, Any]:
     config = read_config((FOLDER / "edge_config.json").read_text("utf-8"))
-    found = {"without options": shape(Application(config, lambda: 110.0).counts())}
+    shapes = {"without options": shape(Application(config, lambda: 110.0).counts())}
     with TemporaryDirectory() as name:
         keys = Path(name, "members.keys")
         keys.write_text("1 00112233445566778899aabbccddeeff\n", "ascii")
@@ -137,9 +137,9 @@
         known = frozenset({"resp2-v1", "resp3-v2", "http-v2"})
         operator = read_operator(path, known, known)
         application = Application(config, lambda: 110.0, operator)
-        found["with every option"] = shape(application.counts())
+        shapes["with every option"] = shape(application.counts())
         application.backends.close()
-    return found
+    return shapes
 
 
 def store_of_records(folder: Path) -> None:
@@ -154,8 +154,8 @@
     """Returns the records that `python -m ingress.handover show --json` prints for a store."""
     with TemporaryDirectory() as name:
         store_of_records(Path(name))
-        found = read_store(OsFileSystem(Path(name)), "edge-1")
-        return {record["name"]: record for record in describe_records(found)}
+        contents = read_store(OsFileSystem(Path(name)), "edge-1")
+        return {record["name"]: record for record in describe_records(contents)}
 
 
 def counts() -> dict[str, Any]:
--- a/tests/golden_cases/store.py
+++ b/tests/golden_cases/store.py
@@ -57,5 +57,5 @@
 
 def read_contents(folder: Path) -> tuple[dict[bytes, bytes], int, list[str], bytes]:
     """Returns the rows, position, faults and identity of a store, read without changing it."""
-    found = read_store(OsFileSystem(folder), "edge-1")
-    return found.entries, found.position, found.faults, found.store_id
+    contents = read_store(OsFileSystem(folder), "edge-1")
+    return contents.entries, contents.position, contents.faults, contents.store_id
--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -172,7 +172,7 @@
 def test_version_names_the_form(mode: str) -> None:
     if mode == "require":
         forms()
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress", "--version"],
         cwd=ROOT,
         env=os.environ | {MODE_VARIABLE: mode},
@@ -180,7 +180,7 @@
         text=True,
         check=True,
     )
-    assert done.stdout == (
+    assert completed.stdout == (
         "ingress 0.1.0, interpreted: INGRESS_COMPILED is off\n"
         if mode == "off"
         else f"ingress 0.1.0, compiled: {stamp()}\n"
