--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -36,7 +36,7 @@
 from ingress.transport.backend_protocol import BackendProtocol, MalformedResponseError
 from ingress.transport.client_protocol import ClientProtocol, MalformedFrameError
 
-KEPT_MOST = 4 * 1024 * 1024  # bytes held by a codec; a few times its largest response
+MAX_HELD_BYTES = 4 * 1024 * 1024  # bytes held by a codec; a few times its largest response
 SETTINGS = Settings(
     classes=(
         RequestClass("read", 1.0, 4.0),
@@ -220,7 +220,7 @@
         if inputs % 500 == 0:
             worst = max(worst, tracemalloc.get_traced_memory()[1])
             tracemalloc.reset_peak()
-            if worst > KEPT_MOST:
+            if worst > MAX_HELD_BYTES:
                 raise AssertionError(
                     f"{name}, seed {seed}, inputs up to {inputs}: {worst} bytes held"
                 )
--- a/tests/test_http_wire.py
+++ b/tests/test_http_wire.py
@@ -346,5 +346,5 @@
 def test_drawn_bytes_raise_nothing_but_the_codecs_own_error(codec: str) -> None:
     """Some seconds' worth of what `python -m benchmarks.fuzz` does at length."""
     inputs, errors, held = fuzz.fuzz(codec, 60_000, 3)
-    assert inputs > 100 and held < fuzz.KEPT_MOST
+    assert inputs > 100 and held < fuzz.MAX_HELD_BYTES
     assert errors > 20 or codec == "json"  # else nothing was harmed
