--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -290,7 +290,7 @@
 
 def checkout_form() -> Form:
     """Returns the form that a new process of this checkout uses."""
-    code = "from ingress.compilation import use; form = use('auto'); print(int(form.compiled), form.detail)"
+    code = "from ingress.compilation import select_form; form = select_form('auto'); print(int(form.compiled), form.detail)"
     completed = subprocess.run(
         (sys.executable, "-c", code), cwd=ROOT, capture_output=True, text=True, check=True
     )
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from ingress.compilation import NotCompiledError, use
+from ingress.compilation import NotCompiledError, select_form
 
 VERSION = "0.1.0"
 EXIT_BAD_CONFIGURATION = 2
@@ -17,7 +17,7 @@
         The exit status: that of `ingress.service.main`, or 2 if the required form is missing.
     """
     try:
-        form = use()
+        form = select_form()
     except (NotCompiledError, ValueError) as error:
         sys.stderr.write(f"ingress: {error}\n")
         return EXIT_BAD_CONFIGURATION
--- a/ingress/compilation/__init__.py
+++ b/ingress/compilation/__init__.py
@@ -149,7 +149,7 @@
         )
 
 
-def use(mode: str | None = None, home: Path = COMPILED_DIR, root: Path = ROOT) -> Form:
+def select_form(mode: str | None = None, home: Path = COMPILED_DIR, root: Path = ROOT) -> Form:
     """Makes later imports load the compiled form if it was built from the current sources.
 
     A form is never used if its build was interrupted or if it belongs to other sources or another
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -6,7 +6,7 @@
 
 import os
 
-from ingress.compilation import MODE_VARIABLE, use
+from ingress.compilation import MODE_VARIABLE, select_form
 
 os.environ.setdefault(MODE_VARIABLE, "off")
-FORM = use()
+FORM = select_form()
--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -19,9 +19,9 @@
     MODULES,
     NotCompiledError,
     library_path,
+    select_form,
     source_path,
     stamp,
-    use,
 )
 from ingress.compilation import __main__ as builder
 from tests.twins import forms
@@ -55,7 +55,7 @@
     tmp_path: Path, no_hot_modules_imported: None
 ) -> None:
     root, home = copy_with_form(tmp_path)
-    form = use("require", home, root)
+    form = select_form("require", home, root)
     assert form.compiled
     assert form.detail == stamp(root)
     assert isinstance(sys.meta_path[0], compilation.CompiledModuleFinder)
@@ -72,17 +72,17 @@
     root, home = copy_with_form(tmp_path)
     path = root / name if name == compilation.REQUIREMENTS_FILE else source_path(name, root)
     path.write_bytes(path.read_bytes() + b"\n")
-    assert str(use("auto", home, root)) == (
+    assert str(select_form("auto", home, root)) == (
         "interpreted: no compiled form of these sources; run python -m ingress.compilation build"
     )
     with pytest.raises(NotCompiledError, match="no compiled form of these sources"):
-        use("require", home, root)
+        select_form("require", home, root)
 
 
 def test_rejects_a_form_that_lacks_a_module(tmp_path: Path, no_hot_modules_imported: None) -> None:
     root, home = copy_with_form(tmp_path)
     library_path(home / stamp(root), "ingress.resp.client_protocol").unlink()
-    assert use("auto", home, root).detail.endswith("has no ingress.resp.client_protocol")
+    assert select_form("auto", home, root).detail.endswith("has no ingress.resp.client_protocol")
 
 
 def test_rejects_a_form_for_another_python(
@@ -90,7 +90,7 @@
 ) -> None:
     root, home = copy_with_form(tmp_path)
     monkeypatch.setattr(compilation, "EXTENSION_SUFFIXES", [".cpython-399-x86_64-linux-gnu.so"])
-    assert not use("auto", home, root).compiled
+    assert not select_form("auto", home, root).compiled
 
 
 def test_rejects_a_form_if_a_module_is_already_imported(
@@ -98,16 +98,16 @@
 ) -> None:
     root, home = copy_with_form(tmp_path)
     sys.modules["ingress.policy.gateway"] = sys.modules[__name__]
-    assert use("auto", home, root).detail == "ingress.policy.gateway is already imported"
+    assert select_form("auto", home, root).detail == "ingress.policy.gateway is already imported"
 
 
 def test_mode_off_disables_the_form_and_unknown_modes_are_rejected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert not use("off", tmp_path).compiled
+    assert not select_form("off", tmp_path).compiled
     monkeypatch.setenv(MODE_VARIABLE, "fast")
     with pytest.raises(ValueError, match="'fast' is not one of auto, off, require"):
-        use()
+        select_form()
 
 
 def test_an_interrupted_build_leaves_no_folder(
@@ -125,7 +125,7 @@
     monkeypatch.setattr(builder, "compile_into", interrupt_compilation)
     with pytest.raises(KeyboardInterrupt):
         builder.build(home, sys.executable, root)
-    assert not use("auto", home, root).compiled
+    assert not select_form("auto", home, root).compiled
     assert list(home.iterdir()) == []
 
 
--- a/tests/twins.py
+++ b/tests/twins.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ingress.compilation import MODULES, CompiledModuleFinder, NotCompiledError, use
+from ingress.compilation import MODULES, CompiledModuleFinder, NotCompiledError, select_form
 
 
 def policy_names(*modules: ModuleType) -> SimpleNamespace:
@@ -46,7 +46,7 @@
     try:
         if mode is not None:
             try:
-                use(mode)
+                select_form(mode)
             except NotCompiledError as error:
                 pytest.skip(f"{error}: python -m ingress.compilation build")
         loaded: dict[str, ModuleType] = {name: importlib.import_module(name) for name in MODULES}
