--- a/tests/golden_cases/reports.py
+++ b/tests/golden_cases/reports.py
@@ -213,7 +213,7 @@
 
 
 def version_pairs() -> dict[str, Any]:
-    """Returns the fate of each feature, in table order, for each pair of protocol versions."""
+    """Returns the fidelity of each feature, in table order, for each pair of protocol versions."""
     versions = protocol_versions()
     return {
         f"{client} {backend}": plain(
