--- a/ingress/http/backend_protocol.py
+++ b/ingress/http/backend_protocol.py
@@ -75,13 +75,13 @@
         self.has_excess = False
         self.keep_alive = False
 
-    def encode_request(self, call: Call, remaining_s: float) -> bytes:
-        """Returns the call as a request whose timeout is `remaining_s` seconds.
+    def encode_request(self, call: Call, time_left: float) -> bytes:
+        """Returns the call as a request whose timeout is `time_left` seconds.
 
         Raises:
             ValueError: This protocol can't express the call.
         """
-        request = http_v2.encode_request(call, remaining_s, self.host)
+        request = http_v2.encode_request(call, time_left, self.host)
         self.client_request_id = call.client_request_id
         self._reset()
         return request
--- a/ingress/protocol_versions/http_v2.py
+++ b/ingress/protocol_versions/http_v2.py
@@ -130,12 +130,12 @@
     return _MALFORMED if 400 <= status < 500 else _UNCLEAR
 
 
-def encode_request(call: Call, remaining_s: float, host: str) -> bytes:
+def encode_request(call: Call, time_left: float, host: str) -> bytes:
     """Returns a call as a request to a backend.
 
     Args:
         call: The call.
-        remaining_s: The timeout that the request states, in seconds.
+        time_left: The timeout that the request states, in seconds.
         host: The Host field.
 
     Raises:
@@ -148,7 +148,7 @@
     fields = (
         f"Host: {host}\r\nX-Request-Id: {request_id}\r\n"
         f"Grid-Customer: {call.customer}\r\nGrid-Plan: {call.plan}\r\n"
-        f"Grid-Units: {call.units:g}\r\nGrid-Deadline-Ms: {max(1, int(remaining_s * MS_PER_S))}\r\n"
+        f"Grid-Units: {call.units:g}\r\nGrid-Deadline-Ms: {max(1, int(time_left * MS_PER_S))}\r\n"
     )
     if not call.is_write:
         path = quote(call.request_class, safe="")
--- a/ingress/resp/backend_protocol.py
+++ b/ingress/resp/backend_protocol.py
@@ -41,14 +41,14 @@
     def __init__(self) -> None:
         self.buffer = b""
 
-    def encode_request(self, call: Call, remaining_s: float) -> bytes:
-        """Returns the call as a command whose timeout is `remaining_s` seconds.
+    def encode_request(self, call: Call, time_left: float) -> bytes:
+        """Returns the call as a command whose timeout is `time_left` seconds.
 
         Raises:
             ValueError: This protocol can't express the call.
         """
         self.buffer = b""
-        return encode_command(call, remaining_s)
+        return encode_command(call, time_left)
 
     def receive_data(self, data: bytes) -> AttemptResult | None:
         """Processes received bytes; returns the result once the reply is complete.
--- a/ingress/resp/command_encoder.py
+++ b/ingress/resp/command_encoder.py
@@ -17,7 +17,7 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def encode_command(call: Call, remaining_s: float) -> bytes:
+def encode_command(call: Call, time_left: float) -> bytes:
     """Returns a call as a command for a backend.
 
     A call received as a command is forwarded unchanged except for its timeout; any other call is
@@ -25,12 +25,12 @@
 
     Args:
         call: The call.
-        remaining_s: The timeout that the command states, in seconds.
+        time_left: The timeout that the command states, in seconds.
 
     Raises:
         ValueError: The idempotency key is not 16 hexadecimal digits.
     """
-    timeout_field = b"d=%d" % max(1, int(remaining_s * MS_PER_S))
+    timeout_field = b"d=%d" % max(1, int(time_left * MS_PER_S))
     if isinstance(call, Command):
         return _replace_timeout(call.words, timeout_field)
     verb = WRITE_VERB if call.is_write else READ_VERB
--- a/ingress/resp/resp3_backend_protocol.py
+++ b/ingress/resp/resp3_backend_protocol.py
@@ -56,15 +56,15 @@
         self.hello_pending = False
         self.push_count = 0
 
-    def encode_request(self, call: Call, remaining_s: float) -> bytes:
+    def encode_request(self, call: Call, time_left: float) -> bytes:
         """Returns the call as a command, preceded by HELLO 3 on a new connection.
 
-        The command's timeout is `remaining_s` seconds.
+        The command's timeout is `time_left` seconds.
 
         Raises:
             ValueError: This protocol can't express the call.
         """
-        command = encode_command(call, remaining_s)
+        command = encode_command(call, time_left)
         self.push_count = 0
         if self.hello_sent:
             return command
