--- a/ingress/components/version_translation.py
+++ b/ingress/components/version_translation.py
@@ -68,7 +68,7 @@
     scopes = {request_class.deduplication_scope for request_class in classes}
     if len(scopes) > 1:
         raise OperatorConfigError(
-            "dialects: keyed classes whose key scopes reach differently far can't be grouped"
+            "dialects: classes with idempotency keys can't be grouped: their key scopes differ"
         )
     return scopes.pop() if scopes else DeduplicationScope.ALL
 
--- a/tests/test_mixed_fleets.py
+++ b/tests/test_mixed_fleets.py
@@ -38,7 +38,7 @@
 def test_classes_with_different_deduplication_scopes_are_rejected() -> None:
     keyed = dict(SETTINGS["categories"][1], **{"key-scope": "cell"}, name="other")
     settings = SETTINGS | {"categories": [*SETTINGS["categories"], keyed]}
-    with pytest.raises(OperatorConfigError, match="reach differently far"):
+    with pytest.raises(OperatorConfigError, match="can't be grouped: their key scopes differ"):
         VersionTranslator(ProtocolVersions(), config(settings=settings))
 
 
