--- a/ingress/platform/key_file.py
+++ b/ingress/platform/key_file.py
@@ -45,7 +45,7 @@
     id_text, _, key_text = line.strip().partition(" ")
     is_number = id_text.isdecimal() and id_text.isascii()
     if not is_number or int(id_text) > MAX_KEY_ID or int(id_text) in earlier:
-        raise KeyFileError(f"{where}: no number from 0 to {MAX_KEY_ID} that is unique in the file")
+        raise KeyFileError(f"{where}: key id is not a unique number from 0 to {MAX_KEY_ID}")
     try:
         key = bytes.fromhex(key_text)
     except ValueError:
--- a/ingress/platform/operator_config.py
+++ b/ingress/platform/operator_config.py
@@ -189,7 +189,7 @@
     for key in table:
         if key not in allowed:
             raise OperatorConfigError(
-                f"{where}: {key}: not known; allowed are {', '.join(allowed)}"
+                f"{where}: {key}: unknown key; allowed are {', '.join(allowed)}"
             )
 
 
@@ -229,7 +229,7 @@
 
 def _check_key_file_name(where: str, table: Any) -> None:
     if not isinstance(table.get("keys"), str):
-        raise OperatorConfigError(f"{where}: keys: the name of a file is missing")
+        raise OperatorConfigError(f"{where}: keys: must be a file name")
 
 
 def _read_listeners(
@@ -326,8 +326,7 @@
     needed = 2 * copies - 1
     if len(peers) < needed:
         raise OperatorConfigError(
-            f"{where}: peers: {len(peers)} are too few for copies = {copies:g}, "
-            f"which needs {needed:g}"
+            f"{where}: peers: {len(peers)} given, but copies = {copies:g} needs at least {needed:g}"
         )
     return peers
 
@@ -336,7 +335,7 @@
     window = numbers["window_s"]
     if numbers["forget_s"] < 2 * window:
         raise OperatorConfigError(
-            f"{where}: forget_s: {numbers['forget_s']:g} is less than two windows of {window:g} s"
+            f"{where}: forget_s: {numbers['forget_s']:g} is less than twice window_s ({window:g} s)"
         )
     if not isinstance(table.get("repeats", True), bool):
         raise OperatorConfigError(
@@ -344,7 +343,7 @@
         )
     _check_key_file_name(where, table)
     if not isinstance(table.get("store", ""), str):
-        raise OperatorConfigError(f"{where}: store: not the name of a folder")
+        raise OperatorConfigError(f"{where}: store: must be a directory name")
 
 
 def _read_protocol_versions(where: str, table: Any, allowed: frozenset[str]) -> ProtocolVersions:
