--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -197,7 +197,7 @@
     async def wait_for_counts(
         self, numbers: set[int], condition: Callable[[dict[str, Any]], bool], timeout_message: str
     ) -> None:
-        """Waits until a condition condition for the counts of all these instances."""
+        """Waits until the condition is true of the counts of each of these instances."""
         end = time.monotonic() + EVENT_TIMEOUT_S
         while time.monotonic() < end:
             counts = [await self.handover_counts(number) for number in sorted(numbers)]
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -43,10 +43,15 @@
 
 
 class FleetHarness:
-    """A running testbed whose instances gossip, and their counts."""
+    """A running testbed whose instances gossip, and their counts.
 
-    def __init__(self, world: World, fleet: Fleet) -> None:
-        self.world, self.fleet = world, fleet
+    Attributes:
+        world: The testbed.
+        network: The datagram paths between its instances.
+    """
+
+    def __init__(self, world: World, network: Fleet) -> None:
+        self.world, self.network = world, network
 
     async def counts_of(self, ingress: Ingress) -> dict[str, Any]:
         """Returns the counts of an instance."""
@@ -113,20 +118,20 @@
         world = World(scenario, Path(name), f"exec {sys.executable} -m ingress")
         for number, command in (commands or {}).items():
             world.ingresses[number].command = command
-        fleet = Fleet(world.ingresses, Path(name), seed)
+        network = Fleet(world.ingresses, Path(name), seed)
         try:
-            await fleet.open()
+            await network.open()
             await world.open()
-            harness = FleetHarness(world, fleet)
+            fleet = FleetHarness(world, network)
             traffic = asyncio.create_task(world.play())
-            await case(harness)
+            await case(fleet)
             if seconds is None:
                 assert isinstance(world.customers, Customers)
                 world.customers.stop()
             await traffic
         finally:
             await world.close()
-            fleet.close()
+            network.close()
     assert not world.faults, world.faults
     return world
 
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -42,24 +42,26 @@
     gateways consider it down until it recovers 2 s later, and those after that.
     """
 
-    async def case(stand: FleetHarness) -> None:
-        world, server = stand.world, stand.world.servers[2]
-        await stand.wait_for_all_members()
-        await stand.wait_for_testbed(
+    async def case(fleet: FleetHarness) -> None:
+        world, server = fleet.world, fleet.world.servers[2]
+        await fleet.wait_for_all_members()
+        await fleet.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", 0.0)) == COUNT,
             "not all gateways sent to the backend before the failure",
         )
         server.fault = "reset"
-        await stand.until(
+        await fleet.until(
             EVERYONE,
             lambda f: f["shunned"] == ["server-2"] or f["looks"]["looker"] > 0,
             "not all gateways consider the backend down",
         )
         start = world.clock()
-        await stand.wait_for_testbed(lambda: world.clock() > start + 2.0, "")
+        await fleet.wait_for_testbed(
+            lambda: world.clock() > start + 2.0, "the clock did not advance by 2 s"
+        )
         server.fault, recovered_at = "", world.clock()
-        await stand.until(EVERYONE, lambda f: not f["shunned"], "some still avoid the backend")
-        await stand.wait_for_testbed(
+        await fleet.until(EVERYONE, lambda f: not f["shunned"], "some still avoid the backend")
+        await fleet.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", recovered_at)) >= COUNT - 2,
             "not enough gateways send to the backend again",
         )
@@ -99,27 +101,27 @@
     """Four gateways run an earlier release, four have clocks 2 s ahead; one backend is broken."""
     older, ahead = set(range(4)), set(range(4, 8))
 
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
-        fleet_counts = await stand.until(
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
+        fleet_counts = await fleet.until(
             EVERYONE, lambda f: f["heard"] == COUNT, "some lack reports of other gateways"
         )
         assert all(f["buried"] == 0 for f in fleet_counts.values())
-        stand.world.servers[2].fault = "reset"
-        newer = await stand.until(
+        fleet.world.servers[2].fault = "reset"
+        newer = await fleet.until(
             EVERYONE - older,
             lambda f: f["shunned"] == ["server-2"] or f["looks"]["looker"] > 0,
             "not all gateways of the newer release consider the backend down",
         )
-        fleet_counts = await stand.until(
+        fleet_counts = await fleet.until(
             older,
             lambda f: f["looks"]["taken"] == 0 and f["heard"] == COUNT,
             "some gateways of the older release lack reports of others",
         )
         assert sum(f["looks"]["told"] for f in newer.values()) >= 2
-        shed_fractions = [f["cut"] for f in (await stand.wait_for_all_members()).values()]
+        shed_fractions = [f["cut"] for f in (await fleet.wait_for_all_members()).values()]
         assert max(shed_fractions) - min(shed_fractions) < 0.1, shed_fractions
-        stand.world.servers[2].fault = ""
+        fleet.world.servers[2].fault = ""
 
     run(
         case,
@@ -141,17 +143,19 @@
 ) -> None:
     """It stalls under overload and its reports are 10 s old; the injected fault still uses them."""
 
-    async def case(stand: FleetHarness) -> None:
-        await stand.until({4}, lambda f: f["cuts"] > 0, "no overload was seen")
-        suspended = stand.world.ingresses[4]
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.until({4}, lambda f: f["cuts"] > 0, "no overload was seen")
+        suspended = fleet.world.ingresses[4]
         assert suspended.life is not None
-        suspended.life.pauses.append((stand.world.clock(), float("inf")))
+        suspended.life.pauses.append((fleet.world.clock(), float("inf")))
         suspended.signal(signal.SIGSTOP)
-        start = stand.world.clock()
-        await stand.wait_for_testbed(lambda: stand.world.clock() > start + 10.0, "")
+        start = fleet.world.clock()
+        await fleet.wait_for_testbed(
+            lambda: fleet.world.clock() > start + 10.0, "the clock did not advance by 10 s"
+        )
         suspended.signal(signal.SIGCONT)
-        suspended.life.pauses[-1] = suspended.life.pauses[-1][0], stand.world.clock() + 0.5
-        fleet_counts = await stand.until(
+        suspended.life.pauses[-1] = suspended.life.pauses[-1][0], fleet.world.clock() + 0.5
+        fleet_counts = await fleet.until(
             {4},
             lambda f: f["woken"] >= 1 and f["there"] >= COUNT - 1,
             "the process did not rejoin the fleet",
@@ -162,31 +166,37 @@
 
 
 def test_a_restarted_backend_does_not_collapse_and_the_fleet_recovers_from_a_surge() -> None:
-    """All twelve gateways find a cold backend at once; then load surges for 3 s, with retries."""
+    """All twelve gateways discover a cold backend at once; then load surges for 3 s.
+
+    Clients retry once most requests that were not served; these retries must not keep the fleet
+    overloaded after the surge.
+    """
 
-    async def case(stand: FleetHarness) -> None:
-        world = stand.world
-        await stand.wait_for_all_members()
+    async def case(fleet: FleetHarness) -> None:
+        world = fleet.world
+        await fleet.wait_for_all_members()
         await world._strike(Fault(0.0, "restart", "server-2", {"seconds": 0.3}))
         restart = world.servers[2].start
         assert restart is not None
-        await stand.wait_for_testbed(
+        await fleet.wait_for_testbed(
             lambda: len(attempts_at(world, "server-2", restart.at)) >= COUNT // 2,
             "too few gateways send to the restarted backend",
         )
         surge_start = world.clock()
         world.customers.surge("base", 6.0)
-        await stand.wait_for_testbed(lambda: world.clock() > surge_start + 3.0, "")
+        await fleet.wait_for_testbed(
+            lambda: world.clock() > surge_start + 3.0, "the surge did not last for 3 s"
+        )
         world.customers.surge("base", 1.0)
         end = world.clock()
         assert served(world, surge_start, end) < 0.8  # the surge overloaded the fleet
         before = served(world, surge_start - 2.0, surge_start)
-        await stand.wait_for_testbed(
+        await fleet.wait_for_testbed(
             lambda: world.clock() > end + 1.5
             and served(world, world.clock() - 1.5, world.clock() - 0.5) > 0.9 * before,
             "the fleet does not recover after the surge",
         )
-        await stand.until(EVERYONE, lambda f: f["cut"] == 0.0, "the fleet still sheds")
+        await fleet.until(EVERYONE, lambda f: f["cut"] == 0.0, "the fleet still sheds")
 
     run(case, seconds=None, rate=90.0, busy=0.5, **UNIFORM_TRAFFIC)
 
@@ -198,10 +208,10 @@
     no load would shed everything forever.
     """
 
-    async def case(stand: FleetHarness) -> None:
-        world = stand.world
-        await stand.wait_for_all_members()
-        await stand.wait_for_testbed(
+    async def case(fleet: FleetHarness) -> None:
+        world = fleet.world
+        await fleet.wait_for_all_members()
+        await fleet.wait_for_testbed(
             lambda: served(world, world.clock() - 1.0, world.clock()) > 0.9,
             "the fleet does not serve requests before the failure",
         )
@@ -209,7 +219,9 @@
             server.end()
             world.publish(server, "gone", 0.0)
         removed_at = world.clock()
-        await stand.wait_for_testbed(lambda: world.clock() > removed_at + 16.0, "")
+        await fleet.wait_for_testbed(
+            lambda: world.clock() > removed_at + 16.0, "the backends were not absent for 16 s"
+        )
         outcomes = [x.kind for x in world.record.tries if x.sent > removed_at + 2.0 and x.kind]
         # Many requests were offered and none was admitted.
         assert len(outcomes) > 500
@@ -219,7 +231,7 @@
             server.begin_cold()
             world.publish(server, "ready", world.clock())
         returned_at = world.clock()
-        await stand.wait_for_testbed(
+        await fleet.wait_for_testbed(
             lambda: world.clock() > returned_at + 1.5
             and served(world, world.clock() - 1.5, world.clock() - 0.5) > 0.9,
             "the fleet does not serve requests after the backends returned",
@@ -235,16 +247,16 @@
 
 
 def test_the_fleet_serves_its_capacity_while_one_gateway_receives_ten_times_the_mean() -> None:
-    """Offers 2.5 times the capacity, with clients that use all gateways."""
+    """Offers 2.5 times the capacity; for each attempt, a client picks any gateway by weight."""
 
-    async def case(stand: FleetHarness) -> None:
-        customers = stand.world.customers
+    async def case(fleet: FleetHarness) -> None:
+        customers = fleet.world.customers
         customers.shift = lambda share: None  # type: ignore[method-assign]
         for customer in customers.everyone:  # type: ignore[union-attr]
             customer.spread, customer.first = COUNT, 0
             customer.weights = [55.0, *[1.0] * (COUNT - 1)]
-        tries = stand.world.record.tries
-        await stand.wait_for_testbed(
+        tries = fleet.world.record.tries
+        await fleet.wait_for_testbed(
             lambda: sum(x.kind == "refused" for x in tries) > 200, "no overload was seen"
         )
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -11,18 +11,18 @@
 
 
 def test_twelve_processes_started_at_once_discover_each_other_and_one_leaves_gracefully() -> None:
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
-        stand.fleet.paths.every(loss=0.1, again=0.1, delay=0.01, spread=0.9)
-        counts = stand.fleet.paths.counts
-        await stand.until(
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
+        fleet.network.paths.every(loss=0.1, again=0.1, delay=0.01, spread=0.9)
+        counts = fleet.network.paths.counts
+        await fleet.until(
             {3},
             lambda f: f["views"] > 20 and min(counts.lost, counts.repeated, counts.delayed) > 10,
             "no fleet load, or too few datagrams were lost, repeated or delayed",
         )
-        stand.world.ingresses[0].signal(signal.SIGTERM, "term")
+        fleet.world.ingresses[0].signal(signal.SIGTERM, "term")
         rest = set(range(1, COUNT))
-        fleet_counts = await stand.until(
+        fleet_counts = await fleet.until(
             rest, lambda f: f["there"] == COUNT - 2, "some members missed the graceful leave"
         )
         assert all(f["buried"] == 0 for f in fleet_counts.values())
@@ -33,20 +33,20 @@
 
 
 def test_a_process_suspended_for_longer_than_a_suspicion_ignores_stale_state() -> None:
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
-        suspended, rest = stand.world.ingresses[4], set(range(COUNT)) - {4}
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
+        suspended, rest = fleet.world.ingresses[4], set(range(COUNT)) - {4}
         assert suspended.life is not None
-        suspended.life.pauses.append((stand.world.clock(), float("inf")))
+        suspended.life.pauses.append((fleet.world.clock(), float("inf")))
         suspended.signal(signal.SIGSTOP)
-        await stand.until(
+        await fleet.until(
             rest,
             lambda f: f["there"] == COUNT - 2 and f["lost"] == 1,
             "the suspended process was not declared dead",
         )
         suspended.signal(signal.SIGCONT)
-        suspended.life.pauses[-1] = suspended.life.pauses[-1][0], stand.world.clock() + 0.5
-        fleet_counts = await stand.wait_for_all_members()
+        suspended.life.pauses[-1] = suspended.life.pauses[-1][0], fleet.world.clock() + 0.5
+        fleet_counts = await fleet.wait_for_all_members()
         assert min(fleet_counts[4]["woken"], fleet_counts[4]["asleep"]) >= 1, fleet_counts[4]
         assert fleet_counts[4]["buried"] == 0, fleet_counts[4]
         assert all(fleet_counts[n]["buried"] == 1 for n in rest), fleet_counts
@@ -55,48 +55,48 @@
 
 
 def test_the_halves_of_a_healed_partition_merge() -> None:
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
         first_half = set(range(6))
-        stand.fleet.paths.part(first_half, set(range(COUNT)) - first_half)
-        await stand.until(
+        fleet.network.paths.part(first_half, set(range(COUNT)) - first_half)
+        await fleet.until(
             set(range(COUNT)),
             lambda f: f["there"] == 5 and f["lost"] == 6,
             "the partition was not detected by all members",
         )
-        assert stand.fleet.paths.counts.cut > 50
-        stand.fleet.paths.mend()
-        await stand.wait_for_all_members()
+        assert fleet.network.paths.counts.cut > 50
+        fleet.network.paths.mend()
+        await fleet.wait_for_all_members()
 
     run(case, rate=30.0)
 
 
 def test_a_path_that_fails_in_one_direction_declares_no_member_dead() -> None:
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
-        stand.fleet.paths.part({2}, {7}, both=False)
-        await stand.until({2}, lambda f: f["sent"] > 400, "too few messages were sent")
-        fleet_counts = await stand.wait_for_all_members()
-        assert stand.fleet.paths.counts.cut >= 2
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
+        fleet.network.paths.part({2}, {7}, both=False)
+        await fleet.until({2}, lambda f: f["sent"] > 400, "too few messages were sent")
+        fleet_counts = await fleet.wait_for_all_members()
+        assert fleet.network.paths.counts.cut >= 2
         assert all(f["buried"] == 0 for f in fleet_counts.values()), fleet_counts
 
     run(case, rate=30.0)
 
 
 def test_half_killed_under_overload_are_declared_dead_and_the_rest_share_load_reports() -> None:
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
         for n in range(6):
-            stand.world.customers.doors[n].until = stand.world.clock() + 0.5
-            stand.world.ingresses[n].signal(signal.SIGKILL, "killed")
+            fleet.world.customers.doors[n].until = fleet.world.clock() + 0.5
+            fleet.world.ingresses[n].signal(signal.SIGKILL, "killed")
         rest = set(range(6, COUNT))
-        fleet_counts = await stand.until(
+        fleet_counts = await fleet.until(
             rest,
             lambda f: f["there"] == 5 and f["lost"] == 6,
             "not all killed processes were declared dead",
         )
         assert all(f["views"] > 0 for f in fleet_counts.values())
-        await stand.until(
+        await fleet.until(
             rest, lambda f: f["heard"] == 6, "some survivors lack reports of the others"
         )
 
@@ -105,16 +105,16 @@
 
 
 def test_load_reports_delayed_under_overload_are_ignored() -> None:
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
         everyone = set(range(COUNT))
-        await stand.until(everyone, lambda f: f["cuts"] > 0, "no overload was seen")
-        before = await stand.until(everyone, lambda f: True, "")
-        stand.fleet.paths.stall(everyone)
-        await stand.until(everyone, lambda f: f["heard"] == 0, "old reports are used")
-        assert stand.fleet.paths.counts.held > 50
-        stand.fleet.paths.mend()
-        after = await stand.wait_for_all_members()
+        await fleet.until(everyone, lambda f: f["cuts"] > 0, "no overload was seen")
+        before = await fleet.until(everyone, lambda f: True, "the counts could not be read")
+        fleet.network.paths.stall(everyone)
+        await fleet.until(everyone, lambda f: f["heard"] == 0, "old reports are used")
+        assert fleet.network.paths.counts.held > 50
+        fleet.network.paths.mend()
+        after = await fleet.wait_for_all_members()
         assert all(after[n]["alone"] > before[n]["alone"] for n in everyone)
 
     world = run(case, seconds=12.0, rate=150.0, busy=2.5)
@@ -131,10 +131,10 @@
     """
     fault = "liar:1e9,0,1e9" if is_bounded else "believed:1e9,0,1e9"
 
-    async def case(stand: FleetHarness) -> None:
-        await stand.wait_for_all_members()
+    async def case(fleet: FleetHarness) -> None:
+        await fleet.wait_for_all_members()
         # The false report is sent all the time, so its effect on the shed fraction is permanent.
-        await stand.until(
+        await fleet.until(
             set(range(1, COUNT)),
             lambda f: f["heard"] == COUNT and (f["cut"] > 0.9 if is_moved else f["cut"] == 0.0),
             "the shed fraction is not as expected with the false report",
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -103,7 +103,9 @@
         outcome = await fleet.submit(1, key)
         assert outcome.kind == ("refused" if fault == "none" else "served"), outcome
         start = fleet.world.clock()
-        await fleet.wait_until(lambda: fleet.world.clock() > start + 4.5, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > start + 4.5, "the deduplication window did not pass"
+        )
         if fault == "none":
             outcome = await fleet.submit(2, key)
             assert outcome.kind == "failed"
@@ -134,7 +136,10 @@
         start = fleet.world.clock()
         fleet.slow_down(1.0)
         repeats = asyncio.gather(*(fleet.submit_until_final(n, key, 3.0) for n in (1, 2, 3)))
-        await fleet.wait_until(lambda: fleet.world.clock() > start + pause_seconds, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > start + pause_seconds,
+            "the pause did not reach its length",
+        )
         fleet.resume(0)
         for outcome in await repeats:
             assert outcome.kind == "served", outcome
@@ -165,7 +170,9 @@
             {2, 3, 4}, lambda counts: counts["there"] == 2, "the instance is not paused"
         )
         start = fleet.world.clock()
-        await fleet.wait_until(lambda: fleet.world.clock() > start + 4.5, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > start + 4.5, "the deduplication window did not pass"
+        )
         fleet.resume(1)
         outcome = await repeat
         assert outcome.kind in ("failed", "broken"), outcome
@@ -279,7 +286,7 @@
         assert (await fleet.verdict_counts())["unprotected"] > before["unprotected"]
         start = fleet.world.clock()
         await fleet.wait_until(
-            lambda: fleet.world.clock() > start + 0.8, ""
+            lambda: fleet.world.clock() > start + 0.8, "the delayed messages had no time to arrive"
         )  # until the delayed messages have arrived
         # The same key with another body: neither sent nor answered with the stored response.
         key = fleet.new_key()
--- a/tests/test_takeover_storage.py
+++ b/tests/test_takeover_storage.py
@@ -140,7 +140,10 @@
         await kill_and_restart(fleet, [0, *fleet.replicas_of(key)])
         await first
         fleet.slow_down(1.0)
-        await fleet.wait_until(lambda: fleet.world.clock() > fleet.arrivals(key)[0].at + 4.5, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > fleet.arrivals(key)[0].at + 4.5,
+            "the deduplication window did not pass",
+        )
         [successor] = {1, 2, 3, 4} - set(fleet.replicas_of(key))
         assert (await fleet.submit_until_final(successor, key)).kind == "served"
 
