--- a/tests/peers.py
+++ b/tests/peers.py
@@ -130,11 +130,11 @@
         self.reader, self.writer, self.parser = reader, writer, hiredis.Reader(notEnoughData=self)
 
     @classmethod
-    async def to(cls, address: Address) -> Self:
+    async def connect(cls, address: Address) -> Self:
         """Connects to an address."""
         return cls(*await asyncio.open_connection(*address))
 
-    async def answer(self) -> Any:
+    async def read_response(self) -> Any:
         """Reads the next response.
 
         Raises:
@@ -147,10 +147,10 @@
             self.parser.feed(data)
         return response
 
-    async def ask(self, data: bytes) -> Any:
+    async def request(self, data: bytes) -> Any:
         """Writes a request and reads the next response."""
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_response()
 
 
 SETTINGS: dict[str, Any] = {
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -161,7 +161,7 @@
 async def is_closed(caller: Caller) -> bool:
     """Asserts that the connection is closed without a further response; returns True."""
     with pytest.raises((EOFError, ConnectionError)):
-        await caller.answer()
+        await caller.read_response()
     return True
 
 
@@ -182,6 +182,6 @@
 
 async def connected_caller(address: Address) -> Caller:
     """Returns a client from whose connection the ingress has already read a request."""
-    caller = await Caller.to(address)
-    assert await caller.ask(resp(b"PING")) == b"PONG"
+    caller = await Caller.connect(address)
+    assert await caller.request(resp(b"PING")) == b"PONG"
     return caller
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -47,9 +47,11 @@
                 return start_attempt(event)
 
             ingress.exchange.policy = ScriptedPolicy(plan)
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(50)))
-            assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
+            assert [await caller.read_response() for _ in range(50)] == [
+                b"%d" % n for n in range(50)
+            ]
 
     run(body())
     assert max_open == 4
@@ -59,14 +61,14 @@
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             ingress.clients.max_connections = 3  # one place is kept free
-            callers = [await Caller.to(address) for _ in range(2)]
+            callers = [await Caller.connect(address) for _ in range(2)]
             for caller in callers:
-                assert await caller.ask(resp(b"PING")) == b"PONG"
-            third = await Caller.to(address)
-            assert await third.ask(resp(b"PING")) == b"PONG"
+                assert await caller.request(resp(b"PING")) == b"PONG"
+            third = await Caller.connect(address)
+            assert await third.request(resp(b"PING")) == b"PONG"
             with pytest.raises(EOFError):
-                await callers[0].answer()
-            assert await callers[1].ask(resp(b"PING")) == b"PONG"
+                await callers[0].read_response()
+            assert await callers[1].request(resp(b"PING")) == b"PONG"
 
     run(body())
 
@@ -81,7 +83,7 @@
 
     async def body() -> None:
         async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(sent)
             received = await caller.reader.read()  # to the end of the connection
             assert received.startswith(b"-ERR ") is bool(sent)
@@ -102,7 +104,7 @@
 
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             received = asyncio.create_task(caller.reader.read())
             for byte in command(request="1" * 100):
                 if received.done():
@@ -130,14 +132,14 @@
 
     async def body() -> None:
         async with Peer(script) as peer, serving(config(entry(peer.address))) as (_, address):
-            idle = await Caller.to(address)
-            busy = await Caller.to(address)
+            idle = await Caller.connect(address)
+            busy = await Caller.connect(address)
             busy.writer.write(command("busy"))
-            assert await idle.ask(resp(b"PING")) == b"PONG"
+            assert await idle.request(resp(b"PING")) == b"PONG"
             with pytest.raises((EOFError, ConnectionError)):
-                await idle.answer()
+                await idle.read_response()
             idle_closed.append(True)
-            assert await busy.answer() == b"busy"
+            assert await busy.read_response() == b"busy"
 
     idle_closed: list[bool] = []
     run(body())
@@ -175,11 +177,11 @@
         async with serving(config()) as (ingress, address):
             ingress.clients.max_connections = 10
             ingress.exchange.policy = ScriptedPolicy(lambda e: [RejectRequest(e.request_id)])
-            callers = [await Caller.to(address) for _ in range(60)]
+            callers = [await Caller.connect(address) for _ in range(60)]
             for n, caller in enumerate(callers):
                 caller.writer.write(command(str(n)))
             for caller in callers:
-                assert str(await caller.answer()) == "BUSY"
+                assert str(await caller.read_response()) == "BUSY"
                 caller.writer.close()
 
     run(body())
@@ -193,13 +195,13 @@
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             ingress.clients.max_connections = 40
-            usual = await Caller.to(address)
-            assert await usual.ask(resp(b"PING")) == b"PONG"
-            silent = [await Caller.to(address) for _ in range(200)]
-            late = await Caller.to(address)
+            usual = await Caller.connect(address)
+            assert await usual.request(resp(b"PING")) == b"PONG"
+            silent = [await Caller.connect(address) for _ in range(200)]
+            late = await Caller.connect(address)
             for _ in range(3):
-                assert await late.ask(resp(b"PING")) == b"PONG"
-                assert await usual.ask(resp(b"PING")) == b"PONG"
+                assert await late.request(resp(b"PING")) == b"PONG"
+                assert await usual.request(resp(b"PING")) == b"PONG"
             assert len(ingress.clients.connections) <= 40
             for caller in silent:
                 caller.writer.close()
@@ -217,13 +219,13 @@
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             ingress.clients.max_connections = 40
-            slow = await Caller.to(address)
+            slow = await Caller.connect(address)
             ping = resp(b"PING")
             slow.writer.write(ping[:-3])
             await until(lambda: any(c.unparsed for c in ingress.clients.connections))
-            silent = [await Caller.to(address) for _ in range(200)]
+            silent = [await Caller.connect(address) for _ in range(200)]
             slow.writer.write(ping[-3:])
-            assert await slow.answer() == b"PONG"
+            assert await slow.read_response() == b"PONG"
             for caller in silent:
                 caller.writer.close()
 
@@ -233,12 +235,12 @@
 def test_closes_after_consecutive_malformed_requests() -> None:
     async def body() -> None:
         async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(resp(b"NO") * 300)
             for _ in range(client_connection.MAX_CONSECUTIVE_MALFORMED_REQUESTS):
-                assert isinstance(await caller.answer(), hiredis.ReplyError)
+                assert isinstance(await caller.read_response(), hiredis.ReplyError)
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_response()
             assert (
                 ingress.clients.malformed_requests.count
                 == client_connection.MAX_CONSECUTIVE_MALFORMED_REQUESTS
@@ -257,9 +259,9 @@
 
     async def body() -> None:
         async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(b"*5\r\n$60000000\r\n")
-            assert "too large" in str(await caller.answer())
+            assert "too large" in str(await caller.read_response())
             client = next(iter(ingress.clients.connections))
             caller.writer.write(bytes(60_000_000))
             await until(lambda: not ingress.clients.connections)
@@ -274,11 +276,11 @@
         async with serving(config()) as (ingress, address):
             ingress.clients.max_buffered_bytes = 100_000
             part = b"*5\r\n$9\r\nAPI.WRITE\r\n$60000\r\n" + b"x" * 50_000
-            callers = [await Caller.to(address) for _ in range(2)]
+            callers = [await Caller.connect(address) for _ in range(2)]
             callers[0].writer.write(part)
             await until(lambda: ingress.clients.buffered_bytes >= 50_000)
             callers[1].writer.write(part)
-            assert "on the way" in str(await callers[1].answer())
+            assert "on the way" in str(await callers[1].read_response())
             assert ingress.clients.buffered_bytes <= 100_000
 
     run(body())
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -92,15 +92,15 @@
                 second.peer,
                 program(path, text(first), listen_address) as process,
             ):
-                caller = await Caller.to(listen_address)
+                caller = await Caller.connect(listen_address)
                 await until(lambda: len(first.paths) == 2)
-                assert await caller.ask(command()) == b"one"
+                assert await caller.request(command()) == b"one"
                 for bad, key in (("{", "EDGE_CONFIG"), (config_text(seed="xyz"), "seed")):
                     await reload_with(process, path, bad, "configuration rejected", key)
                 path.unlink()
                 process.send_signal(signal.SIGHUP)
                 await read_log_line(process, "configuration rejected", "EDGE_CONFIG")
-                assert await caller.ask(command()) == b"one"
+                assert await caller.request(command()) == b"one"
                 # No change: the watch continues.
                 await reload_with(process, path, text(first), "configuration reloaded")
                 assert first.peer.connections == 1
@@ -109,7 +109,7 @@
                 process.send_signal(signal.SIGHUP)
                 await until(lambda: len(second.paths) >= 3 and first.peer.ended)
                 assert second.paths[:2] == ["/api/targets"] * 2
-                assert await caller.ask(command()) == b"two"
+                assert await caller.request(command()) == b"two"
                 # And back while the program drains: it must handle signals then, too.
                 path.write_text(text(first), encoding="utf-8")
                 process.send_signal(signal.SIGTERM)
@@ -158,14 +158,14 @@
                 second.peer,
                 program(path, text(first), listen_address) as process,
             ):
-                caller = await Caller.to(listen_address)
+                caller = await Caller.connect(listen_address)
                 for key, other in [
                     *changes.items(),
                     *(("settings", variant) for variant in other_settings),
                 ]:
                     changed = text(second, **other)
                     await reload_with(process, path, changed, "configuration rejected", key)
-                    assert await caller.ask(command()) == b"one"
+                    assert await caller.request(command()) == b"one"
                 assert not second.peer.connections
                 process.terminate()
                 await process.wait()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -218,7 +218,7 @@
             backend() as peer,
             serving(config(entry(peer.address), settings=drawn_settings)) as (_, address),
         ):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             for number, (name, semantics_name, deadline_s) in enumerate(
                 zip(names[:3], semantics_by_class, deadlines, strict=True)
             ):
@@ -227,11 +227,14 @@
                 text += "units=1,spread=1,first=0"
                 verb = b"API.READ" if semantics_name == "safe" else b"API.WRITE"
                 request = b"%016x" % number
-                assert await caller.ask(resp(verb, b"%016x" % 9, request, text.encode())) == request
+                assert (
+                    await caller.request(resp(verb, b"%016x" % 9, request, text.encode()))
+                    == request
+                )
             unknown = names[0] + "x" * 31  # longer than any drawn name
             other = f"c={unknown},t={names[3]},d=900,units=1,spread=1,first=0"
             assert "class" in str(
-                await caller.ask(resp(b"API.READ", b"%016x" % 9, b"zz", other.encode()))
+                await caller.request(resp(b"API.READ", b"%016x" % 9, b"zz", other.encode()))
             )
 
     run(body())
--- a/tests/test_drain_propagation.py
+++ b/tests/test_drain_propagation.py
@@ -126,10 +126,10 @@
             task = asyncio.create_task(application.run(stop))
             await until(lambda: agent.connections)
             with pytest.raises(ConnectionError):
-                await Caller.to(application.clients.listening_socket.getsockname())
+                await Caller.connect(application.clients.listening_socket.getsockname())
             release.set()
-            caller = await Caller.to(await listening_address(application))
-            assert "BUSY" in str(await caller.ask(command("one")))
+            caller = await Caller.connect(await listening_address(application))
+            assert "BUSY" in str(await caller.request(command("one")))
             assert not peer.commands
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -149,8 +149,8 @@
         async with agent.peer, backend() as peer:
             text = "{}:{}".format(*agent.peer.address)
             async with serving(config(entry(peer.address), discovery=text)) as (_, address):
-                caller = await Caller.to(address)
-                assert await caller.ask(command("one")) == b"one"
+                caller = await Caller.connect(address)
+                assert await caller.request(command("one")) == b"one"
 
     run(body())
 
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -73,9 +73,9 @@
         ):
             stub = ScriptedPolicy(partial(start_attempt, backend="s2"))
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             # Open the connection to the second backend in advance.
-            await caller.ask(command("warm"))
+            await caller.request(command("warm"))
             stub.plan = plan
             delay.written_at.clear()
             caller.writer.write(command("a", "order"))
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -103,10 +103,10 @@
         self.reader, self.writer, self.http = reader, writer, h11.Connection(h11.CLIENT)
 
     @classmethod
-    async def to(cls, address: Address) -> HttpClient:
+    async def connect(cls, address: Address) -> HttpClient:
         return cls(*await asyncio.open_connection(*address))
 
-    async def answer(self, method: str = "GET") -> tuple[int, dict[str, str], Any]:
+    async def read_response(self, method: str = "GET") -> tuple[int, dict[str, str], Any]:
         """Returns status, fields and JSON body of the next response, whichever request was sent."""
         if self.http.our_state is h11.IDLE:
             self.http.send(h11.Request(method=method, target="/", headers=[("Host", "x")]))
@@ -131,9 +131,9 @@
             self.http.start_next_cycle()
         return status, fields, json.loads(body)
 
-    async def ask(self, data: bytes) -> tuple[int, dict[str, str], Any]:
+    async def request(self, data: bytes) -> tuple[int, dict[str, str], Any]:
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_response()
 
 
 async def send_with_aiohttp(
@@ -194,10 +194,13 @@
                 http_address,
             ),
         ):
-            caller, http = await Caller.to(resp_address), await HttpClient.to(http_address)
+            caller, http = (
+                await Caller.connect(resp_address),
+                await HttpClient.connect(http_address),
+            )
             caller.writer.write(command("r1"))
             await until(lambda: application.exchange.open_requests)
-            status, _, problem = await http.ask(READ.encode())
+            status, _, problem = await http.request(READ.encode())
             assert status == 400 and problem["detail"] == "the id belongs to an open request"
             assert len(application.exchange.open_requests) == 1
 
@@ -216,11 +219,11 @@
         data = post_request(encode_body())
         async with h11_server() as http_backend, backend(value(b"v")) as resp_backend:
             async with serving(http_entry(http_backend.address)) as (_, _, address):
-                assert (await (await HttpClient.to(address)).ask(data))[0] == 200
+                assert (await (await HttpClient.connect(address)).request(data))[0] == 200
             assert f'"{UUID}"'.encode() in http_backend.commands[0]
             for _ in range(2):  # at two ingresses
                 async with serving(entry(resp_backend.address)) as (_, _, address):
-                    assert (await (await HttpClient.to(address)).ask(data))[0] == 200
+                    assert (await (await HttpClient.connect(address)).request(data))[0] == 200
         assert len({words[3].partition(b"k=")[2][:16] for words in resp_backend.commands}) == 1
         assert len(resp_backend.commands) == 2
 
@@ -249,9 +252,9 @@
 
     async def body() -> None:
         async with serving(scripted_policy=ScriptedPolicy(plan)) as (_, _, address):
-            http = await HttpClient.to(address)
+            http = await HttpClient.connect(address)
             for _ in range(2):
-                received_status, headers, problem = await http.ask(READ.encode())
+                received_status, headers, problem = await http.request(READ.encode())
                 assert received_status == status and problem["type"].startswith("urn:grid:problem:")
                 assert {name: text for name, text in headers.items() if "retry" in name} == fields
 
@@ -272,9 +275,9 @@
             peer,
             serving(entry(peer.address), scripted_policy=ScriptedPolicy(plan)) as (_, _, address),
         ):
-            http = await HttpClient.to(address)
+            http = await HttpClient.connect(address)
             http.writer.write(READ.encode() + READ.replace("r1", "r2").encode())
-            assert [(await http.answer())[2]["id"] for _ in range(2)] == ["r1", "r2"]
+            assert [(await http.read_response())[2]["id"] for _ in range(2)] == ["r1", "r2"]
 
     def plan(event: Event) -> list[Action]:
         return (
@@ -301,19 +304,19 @@
             backend(value(b"v")) as resp_backend,
             serving(entry(resp_backend.address)) as (_, _, address),
         ):
-            http = await HttpClient.to(address)
-            assert (await http.ask(encode_post(chunks, "Transfer-Encoding: chunked")))[0] == 200
+            http = await HttpClient.connect(address)
+            assert (await http.request(encode_post(chunks, "Transfer-Encoding: chunked")))[0] == 200
             http.writer.write(
                 encode_post(b"", f"Content-Length: {len(content)}", "Expect: 100-continue").replace(
                     b"r1", b"r2"
                 )
             )
             assert await http.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-            assert (await http.ask(content))[0] == 200
+            assert (await http.request(content))[0] == 200
             last_request = READ.replace("r1", "r3").replace(
                 "Host: x", "Host: x\r\nConnection: close"
             )
-            assert (await http.ask(last_request.encode()))[0] == 200
+            assert (await http.request(last_request.encode()))[0] == 200
             assert await http.reader.read() == b""
             assert [words[4] for words in resp_backend.commands[:2]] == [b"a grid"] * 2
 
@@ -357,10 +360,10 @@
             backend(value(b"v")) as resp_backend,
             serving(entry(resp_backend.address)) as (application, _, address),
         ):
-            http = await HttpClient.to(address)
-            status, _, problem = await http.ask(data)
+            http = await HttpClient.connect(address)
+            status, _, problem = await http.request(data)
             assert status == 400 and reason in problem["detail"], problem
-            assert (await http.ask(READ.encode()))[0] == 200 and len(resp_backend.commands) == 1
+            assert (await http.request(READ.encode()))[0] == 200 and len(resp_backend.commands) == 1
             assert not application.exchange.open_requests
 
     run(body())
@@ -407,12 +410,15 @@
             backend(value(b"v")) as resp_backend,
             serving(entry(resp_backend.address)) as (application, _, address),
         ):
-            http, other_client = await HttpClient.to(address), await HttpClient.to(address)
+            http, other_client = (
+                await HttpClient.connect(address),
+                await HttpClient.connect(address),
+            )
             http.writer.write(data + READ.replace("r1", "hidden").encode())
             received = await http.reader.read()
             assert received.startswith(b"HTTP/1.1 400 ") and received.count(b"HTTP/1.1 ") == 1
             assert b"Connection: close" in received and not resp_backend.commands
-            assert (await other_client.ask(READ.encode()))[0] == 200
+            assert (await other_client.request(READ.encode()))[0] == 200
             assert not application.exchange.open_requests
 
     run(body())
@@ -431,14 +437,14 @@
                 address,
             ),
         ):
-            http = await HttpClient.to(address)
+            http = await HttpClient.connect(address)
             http.writer.write(
                 b"\r\n"
                 + encode_post(chunks, "Transfer-Encoding: chunked")
                 + b"\r\n\r\n"
                 + READ.replace("r1", "r2").encode()
             )
-            assert [(await http.answer())[0] for _ in range(2)] == [200, 200]
+            assert [(await http.read_response())[0] for _ in range(2)] == [200, 200]
             assert b"t=basic" in resp_backend.commands[0][3]  # trailers do not override fields
 
     run(body())
@@ -464,8 +470,11 @@
             backend(value(b"v")) as resp_backend,
             serving(entry(resp_backend.address)) as (application, _, address),
         ):
-            http, other_client = await HttpClient.to(address), await HttpClient.to(address)
-            status, _, problem = await http.ask(READ.replace("r1", "bad").encode())
+            http, other_client = (
+                await HttpClient.connect(address),
+                await HttpClient.connect(address),
+            )
+            status, _, problem = await http.request(READ.replace("r1", "bad").encode())
             if method == "encode_response":
                 assert status == 500 and problem["type"] == "urn:grid:problem:failed"
             else:
@@ -473,7 +482,7 @@
             usable = (
                 other_client if method == "find_frame_end" else http
             )  # an error while framing closes the connection
-            assert (await usable.ask(READ.encode()))[0] == 200
+            assert (await usable.request(READ.encode()))[0] == 200
             assert (
                 application.listeners[1].codec_faults.count == 1
                 and not application.exchange.open_requests
@@ -548,8 +557,8 @@
             )
             task = asyncio.create_task(application.run(stop))
             await application.serving.wait()
-            http = await HttpClient.to(application.listeners[1].listening_socket.getsockname())
-            assert (await http.ask(READ.encode()))[0] == 200
+            http = await HttpClient.connect(application.listeners[1].listening_socket.getsockname())
+            assert (await http.request(READ.encode()))[0] == 200
             stop.set()
             assert await http.reader.read() == b""
             await task
@@ -571,7 +580,7 @@
                 address,
             ),
         ):
-            assert (await (await HttpClient.to(address)).ask(READ.encode()))[0] == 200
+            assert (await (await HttpClient.connect(address)).request(READ.encode()))[0] == 200
             assert (
                 len(resp_backend.commands) == 1
                 and len(scripted_policy.events_of(RequestReceived)) == 1
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -41,12 +41,12 @@
 def test_answers_ping_and_connection_commands_itself() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(resp(b"PING"))
             assert await caller.reader.readexactly(7) == b"+PONG\r\n"
-            assert await caller.ask(resp(b"SELECT", b"0")) == b"OK"
-            assert await caller.ask(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
-            assert str(await caller.ask(resp(b"HELLO", b"3"))).startswith("ERR")
+            assert await caller.request(resp(b"SELECT", b"0")) == b"OK"
+            assert await caller.request(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
+            assert str(await caller.request(resp(b"HELLO", b"3"))).startswith("ERR")
 
     run(body())
 
@@ -61,8 +61,8 @@
 
     async def exchange() -> None:
         async with peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(command(cls="order", body=body)) == body
+            caller = await Caller.connect(address)
+            assert await caller.request(command(cls="order", body=body)) == body
             [words] = peer.commands
             assert words[0] == b"API.WRITE"
             assert words[1] == b"%016x" % 7
@@ -85,9 +85,9 @@
     async def body() -> None:
         async with peer, serving(config(entry(peer.address))) as (ingress, address):
             ingress.exchange.policy = ScriptedPolicy(start_attempt)
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
-            assert [await caller.answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
+            assert [await caller.read_response() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
 
     peer = Peer(script)
     run(body())
@@ -140,12 +140,12 @@
 ) -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
-            answer = await caller.ask(data)
+            caller = await Caller.connect(address)
+            answer = await caller.request(data)
             assert isinstance(answer, hiredis.ReplyError)
             assert str(answer).startswith("ERR ")
             assert why in str(answer)
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            assert await caller.request(resp(b"PING")) == b"PONG"
 
     with caplog.at_level(logging.WARNING):
         run(body())
@@ -183,12 +183,12 @@
     async def body() -> None:
         async with Peer(script) as peer, serving(config(entry(peer.address))) as (ingress, address):
             applications.append(ingress)
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command() + data)
-            assert await caller.answer() == b"served"
-            assert str(await caller.answer()).startswith("ERR ")
+            assert await caller.read_response() == b"served"
+            assert str(await caller.read_response()).startswith("ERR ")
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_response()
 
     run(body())
 
@@ -196,10 +196,10 @@
 def test_rejects_a_frame_that_claims_a_billion_elements_at_once() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
-            assert "too many words" in str(await caller.ask(b"*1000000000\r\n"))
+            caller = await Caller.connect(address)
+            assert "too many words" in str(await caller.request(b"*1000000000\r\n"))
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_response()
 
     run(body())
 
@@ -209,7 +209,7 @@
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             stub = ScriptedPolicy(start_attempt)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command())
             await until(lambda: peer.commands)
             caller.writer.close()
@@ -225,17 +225,17 @@
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             stub = ScriptedPolicy(start_attempt if sent else None)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             clock = asyncio.get_running_loop().time
             start = clock()
-            assert str(await caller.ask(command(d=300))) == "ERR failed"
+            assert str(await caller.request(command(d=300))) == "ERR failed"
             assert clock() - start > 0.2
             assert len(stub.events_of(ClientDisconnected)) == 1
             await until(
                 lambda: not ingress.exchange.attempts and not ingress.exchange.open_requests
             )
             assert len(stub.events_of(AttemptEnded)) == sent
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            assert await caller.request(resp(b"PING")) == b"PONG"
 
     run(body())
 
@@ -245,8 +245,8 @@
 
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
-            caller = await Caller.to(address)
-            assert isinstance(await caller.ask(command(d=500)), hiredis.ReplyError)
+            caller = await Caller.connect(address)
+            assert isinstance(await caller.request(command(d=500)), hiredis.ReplyError)
             policy = ingress.exchange.policy
             assert isinstance(policy, Gateway)
             assert not ingress.exchange.open_requests
@@ -262,9 +262,9 @@
             ingress.exchange.policy = ScriptedPolicy(
                 lambda e: [RejectRequest(e.request_id, waits[e.request_id])]
             )
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command())) == "BUSY"
-            assert str(await caller.ask(command())) == "BUSY 1251"
+            caller = await Caller.connect(address)
+            assert str(await caller.request(command())) == "BUSY"
+            assert str(await caller.request(command())) == "BUSY 1251"
 
     run(body())
 
@@ -275,9 +275,9 @@
             ingress.exchange.policy = ScriptedPolicy(
                 lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)]
             )
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command())) == "ERR failed"
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            caller = await Caller.connect(address)
+            assert str(await caller.request(command())) == "ERR failed"
+            assert await caller.request(resp(b"PING")) == b"PONG"
 
     run(body())
 
@@ -296,11 +296,11 @@
 
             stub = ScriptedPolicy(plan)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command("one") + command("two", customer=9) + command("three"))
-            assert await caller.answer() == b"one"
-            assert str(await caller.answer()) == "ERR failed"
-            assert await caller.answer() == b"three"
+            assert await caller.read_response() == b"one"
+            assert str(await caller.read_response()) == "ERR failed"
+            assert await caller.read_response() == b"three"
             await until(lambda: stub.events_of(TimerFired))
             await until(lambda: not ingress.exchange.open_requests)
 
@@ -327,8 +327,8 @@
 
             stub = ScriptedPolicy(plan)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
-            assert await caller.ask(command("x")) == b"x"
+            caller = await Caller.connect(address)
+            assert await caller.request(command("x")) == b"x"
             assert [e.outcome for e in stub.events_of(AttemptEnded)] == [
                 Outcome.CANCELLED,
                 Outcome.OK,
@@ -351,8 +351,8 @@
 
             stub = ScriptedPolicy(plan)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command(d=300))) == "ERR failed"
+            caller = await Caller.connect(address)
+            assert str(await caller.request(command(d=300))) == "ERR failed"
             ends = [(e.attempt, e.outcome) for e in stub.events_of(AttemptEnded)]
             assert ends == [*((n, Outcome.ERROR) for n in range(4)), (4, Outcome.SUPERSEDED)]
 
@@ -363,11 +363,11 @@
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             ingress.exchange.max_open_requests = 1
-            caller = await Caller.to(address)
-            other = await Caller.to(address)
+            caller = await Caller.connect(address)
+            other = await Caller.connect(address)
             caller.writer.write(command())
             await until(lambda: peer.commands)
-            assert str(await other.ask(command("other"))) == "BUSY"
+            assert str(await other.request(command("other"))) == "BUSY"
 
     run(body())
 
@@ -376,14 +376,14 @@
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             ingress.exchange.policy = ScriptedPolicy(start_attempt)
-            one = await Caller.to(address)
-            two = await Caller.to(address)
+            one = await Caller.connect(address)
+            two = await Caller.connect(address)
             one.writer.write(command("same", d=300))
             await until(lambda: peer.commands)
-            assert "open request" in str(await two.ask(command("same")))
-            assert str(await one.answer()) == "ERR failed"
+            assert "open request" in str(await two.request(command("same")))
+            assert str(await one.read_response()) == "ERR failed"
             two.writer.write(command("same", d=300))  # the first request with this id has ended
-            assert str(await two.answer()) == "ERR failed"
+            assert str(await two.read_response()) == "ERR failed"
             assert len(peer.commands) == 2
             assert not ingress.exchange.client_request_ids
 
--- a/tests/test_mixed_fleets.py
+++ b/tests/test_mixed_fleets.py
@@ -52,7 +52,7 @@
     task = asyncio.create_task(instance.run(asyncio.Event()))
     await instance.serving.wait()  # the listening socket is open now
     try:
-        yield instance, await Caller.to(instance.clients.listening_socket.getsockname())
+        yield instance, await Caller.connect(instance.clients.listening_socket.getsockname())
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -75,7 +75,7 @@
             ):
                 async with mixed_fleet(*fleet) as (_, caller):
                     answers = {
-                        await caller.ask(
+                        await caller.request(
                             command(f"{n:016x}", cls).replace(b"k=0123456789abcdef", b"k=%016x" % n)
                         )
                         for n in range(12)
@@ -146,7 +146,7 @@
                 caller,
             ),
         ):
-            answer = await caller.ask(command(cls="order"))
+            answer = await caller.request(command(cls="order"))
             assert isinstance(answer, hiredis.ReplyError)
             assert str(answer).startswith(error)
             assert len(peer.commands) == attempts
@@ -165,7 +165,7 @@
         async with h11_server() as peer:
             for _ in range(2):
                 async with mixed_fleet(http_entry(peer.address)) as (_, caller):
-                    assert await caller.ask(command(cls="order", body=b"\r\nX: 1")) == b"ok"
+                    assert await caller.request(command(cls="order", body=b"\r\nX: 1")) == b"ok"
             for values in peer.commands:
                 keys |= {v for v in values if v.startswith(b'"') and len(v) == 38}
         assert len(keys) == 1
@@ -195,7 +195,7 @@
             served_count = 0
             for n in range(12):
                 before = len(resp2_backend.commands)
-                answer = await caller.ask(
+                answer = await caller.request(
                     command(f"{n:016x}", "order").replace(b"k=0123456789abcdef", b"k=%016x" % n)
                 )
                 if len(resp2_backend.commands) > before:
@@ -223,7 +223,7 @@
             h11_server() as http_backend,
             mixed_fleet(entry(resp2_backend.address, "s1")) as (instance, caller),
         ):
-            assert await caller.ask(command("00000000000000a1")) == b"old"
+            assert await caller.request(command("00000000000000a1")) == b"old"
             instance.update_endpoints(
                 EndpointListKind.UPDATE,
                 read_endpoint_list(
@@ -234,7 +234,7 @@
                     }
                 ),
             )
-            assert await caller.ask(command("00000000000000a2")) == b"ok"
+            assert await caller.request(command("00000000000000a2")) == b"ok"
 
     run(body())
 
@@ -247,7 +247,7 @@
             scripted_http_backend(response(body=big)) as peer,
             mixed_fleet(http_entry(peer.address)) as (instance, caller),
         ):
-            assert str(await caller.ask(command("r1", "order"))) == "ERR failed"
+            assert str(await caller.request(command("r1", "order"))) == "ERR failed"
             assert len(peer.commands) == 1
             assert instance.translator is not None
             assert instance.translator.reasons == {"too-large": 1}
@@ -292,8 +292,8 @@
                 caller,
             ),
         ):
-            assert str(await caller.ask(command("bad"))) == "ERR failed"
-            assert await caller.ask(command("good")) == b"ok"
+            assert str(await caller.request(command("bad"))) == "ERR failed"
+            assert await caller.request(command("good")) == b"ok"
             assert isinstance(instance.backends, UpstreamDispatcher)
             assert not instance.exchange.attempts
             assert instance.counts()["back_faults"] == {"http-v2": 1, "resp2-v1": 0}
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -78,8 +78,8 @@
             ):
                 stub = ScriptedPolicy(start_attempt)
                 ingress.exchange.policy = stub
-                leaving = await Caller.to(address)
-                staying = await Caller.to(address)
+                leaving = await Caller.connect(address)
+                staying = await Caller.connect(address)
                 leaving.writer.write(command("left"))
                 await until(lambda: ingress.backends.connection_count == 1)  # type: ignore[attr-defined]
                 disconnect(leaving, how)
@@ -144,7 +144,7 @@
         async with serving(config()) as (ingress, address):
             stub = ScriptedPolicy(None)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
             [client] = ingress.clients.connections
@@ -190,7 +190,7 @@
                 async with serving(config(*servers, settings=settings)) as (ingress, address):
                     stub = ScriptedPolicy(plan)
                     ingress.exchange.policy = stub
-                    caller = await Caller.to(address)
+                    caller = await Caller.connect(address)
                     caller.writer.write(command("a", "order", d=30_000))
                     await until(lambda: stub.events_of(AttemptEnded))
                     window_end = ingress.exchange.clock() + 0.5
@@ -249,13 +249,13 @@
     async def body() -> None:
         async with peer, serving(config(entry(peer.address))) as (ingress, address):
             ingress.exchange.policy = ScriptedPolicy(start_attempt)
-            caller = await Caller.to(address)
-            assert await caller.ask(command("one")) == b"one"
+            caller = await Caller.connect(address)
+            assert await caller.request(command("one")) == b"one"
             restarted = Backend("s1", "a", "m", 1, started_at=ingress.exchange.clock())
             ingress.exchange.backends_changed(
                 EndpointListKind.UPDATE, (restarted,), {"s1": peer.address}, 2
             )
-            assert await caller.ask(command("two")) == b"two"
+            assert await caller.request(command("two")) == b"two"
             assert [words[0] for words in peer.commands] == [b"0", b"1"]
 
     run(body())
--- a/tests/test_resp3.py
+++ b/tests/test_resp3.py
@@ -310,8 +310,8 @@
                 (resp2_address, resp3_address, http_address),
             ),
         ):
-            caller = await Caller.to(resp2_address)
-            assert await caller.ask(command("a1", cls)) == expected
+            caller = await Caller.connect(resp2_address)
+            assert await caller.request(command("a1", cls)) == expected
             client = redis_client(resp3_address)
             request = command("a2", cls)
             reader = hiredis.Reader()
@@ -321,9 +321,9 @@
                 b"value": expected,
             }
             await client.aclose()
-            http = await HttpClient.to(http_address)
+            http = await HttpClient.connect(http_address)
             data = READ.encode() if cls == "read" else post_request(BODY)
-            status, _, document = await http.ask(data)
+            status, _, document = await http.request(data)
             assert status == 200 and document["id"] == "r1"
             assert len(peer.commands) == 3 and not application.exchange.open_requests
 
@@ -362,15 +362,15 @@
 def test_hello_switches_versions_and_rejects_other_arguments() -> None:
     async def body() -> None:
         async with half_way() as peer, serving(peer.address, "m3") as (_, addresses):
-            caller = await Caller.to(addresses[1])
-            assert await caller.ask(command("a1")) == b"half"  # RESP2 until HELLO 3
-            assert await caller.ask(resp(b"hello")) == [b"server", b"grid", b"proto", 2]
+            caller = await Caller.connect(addresses[1])
+            assert await caller.request(command("a1")) == b"half"  # RESP2 until HELLO 3
+            assert await caller.request(resp(b"hello")) == [b"server", b"grid", b"proto", 2]
             for words in ((b"HELLO", b"4"), (b"HELLO", b"3", b"AUTH", b"a", b"b")):
-                assert "NOPROTO" in str(await caller.ask(resp(*words)))
-            assert await caller.ask(resp(b"HELLO", b"3")) == {b"server": b"grid", b"proto": 3}
-            assert await caller.ask(command("a2")) == {b"id": b"a2", b"value": b"half"}
-            assert await caller.ask(resp(b"HELLO", b"2")) == [b"server", b"grid", b"proto", 2]
-            assert await caller.ask(command("a3")) == b"half"
+                assert "NOPROTO" in str(await caller.request(resp(*words)))
+            assert await caller.request(resp(b"HELLO", b"3")) == {b"server": b"grid", b"proto": 3}
+            assert await caller.request(command("a2")) == {b"id": b"a2", b"value": b"half"}
+            assert await caller.request(resp(b"HELLO", b"2")) == [b"server", b"grid", b"proto", 2]
+            assert await caller.request(command("a3")) == b"half"
 
     run(body())
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -62,11 +62,11 @@
     try:
         while True:
             try:
-                caller = await Caller.to(address)
+                caller = await Caller.connect(address)
                 break
             except ConnectionError:
                 await asyncio.sleep(0.01)
-        assert await caller.ask(resp(b"PING")) == b"PONG"
+        assert await caller.request(resp(b"PING")) == b"PONG"
         caller.writer.close()
         yield process, address
     finally:
@@ -87,25 +87,25 @@
 
     async def body() -> None:
         async with Peer(script) as peer, program(peer, tmp_path) as (process, address):
-            slow = await Caller.to(address)
-            idle = await Caller.to(address)
+            slow = await Caller.connect(address)
+            idle = await Caller.connect(address)
             slow.writer.write(command("slow"))
-            assert await idle.ask(command("before")) == b"before"
+            assert await idle.request(command("before")) == b"before"
             signalled_at = time.monotonic()
             process.send_signal(signal.SIGTERM)
             # New and existing connections are served temporarily.
-            fresh = await Caller.to(address)
-            assert await fresh.ask(command("fresh")) == b"fresh"
-            assert await idle.ask(command("after")) == b"after"
+            fresh = await Caller.connect(address)
+            assert await fresh.request(command("fresh")) == b"fresh"
+            assert await idle.request(command("after")) == b"after"
             with pytest.raises((EOFError, ConnectionError)):
-                await idle.answer()
+                await idle.read_response()
             assert time.monotonic() - signalled_at >= 0.4
             with pytest.raises(ConnectionError):
-                await Caller.to(address)
+                await Caller.connect(address)
             ended.set()
-            assert await slow.answer() == b"slow"
+            assert await slow.read_response() == b"slow"
             with pytest.raises((EOFError, ConnectionError)):
-                await slow.answer()
+                await slow.read_response()
             assert await process.wait() == 0
 
     run(body())
@@ -113,7 +113,7 @@
 
 async def connect_until_refused(address: Address) -> None:
     while True:
-        (await Caller.to(address)).writer.close()
+        (await Caller.connect(address)).writer.close()
         await asyncio.sleep(0.01)
 
 
@@ -131,7 +131,7 @@
 
     async def body() -> None:
         async with Peer(script) as peer, program(peer, tmp_path) as (process, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command("slow"))
             await request_received.wait()
             for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
@@ -140,9 +140,9 @@
                 await connect_until_refused(address)
             process.send_signal(signal.SIGTERM)
             release.set()
-            assert await caller.answer() == b"slow"
+            assert await caller.read_response() == b"slow"
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_response()
             assert await process.wait() == 0
 
     run(body())
@@ -153,10 +153,10 @@
         classes = [c | {"give-up-s": 60.0, "aim-s": 60.0} for c in SETTINGS["categories"]]
         settings = SETTINGS | {"categories": classes}
         async with backend(b"") as peer, program(peer, tmp_path, settings) as (process, address):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command(d=60_000))
             process.send_signal(signal.SIGTERM)
-            assert str(await caller.answer()) == "ERR failed"
+            assert str(await caller.read_response()) == "ERR failed"
             assert await process.wait() == 0
 
     run(body())
--- a/tests/test_shutdown_and_stalls.py
+++ b/tests/test_shutdown_and_stalls.py
@@ -40,8 +40,8 @@
 def test_answers_a_request_that_was_partial_when_the_drain_began() -> None:
     async def body() -> None:
         async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
-            caller = await Caller.to(address)
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            caller = await Caller.connect(address)
+            assert await caller.request(resp(b"PING")) == b"PONG"
             data = command("late")
             caller.writer.write(data[:20])
             [client] = ingress.clients.connections
@@ -50,7 +50,7 @@
             caller.writer.write(data[20:])
             await until(lambda: stub.events_of(RequestReceived))
             fail_all()
-            assert str(await caller.answer()) == "ERR failed"
+            assert str(await caller.read_response()) == "ERR failed"
             assert await is_closed(caller)
 
     run(body())
@@ -65,14 +65,14 @@
 
     async def body() -> None:
         async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(10)))
             await until(lambda: len(stub.events_of(RequestReceived)) == 4)
             ingress.clients.drain()
             for count in (4, 8, 10):
                 await until(lambda count=count: len(stub.events_of(RequestReceived)) == count)  # type: ignore[misc]
                 fail_all()
-            assert [str(await caller.answer()) for _ in range(10)] == ["ERR failed"] * 10
+            assert [str(await caller.read_response()) for _ in range(10)] == ["ERR failed"] * 10
             assert await is_closed(caller)
 
     run(body())
@@ -83,10 +83,10 @@
 
     async def body() -> None:
         async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
-            idle = await Caller.to(address)
-            busy = await Caller.to(address)
+            idle = await Caller.connect(address)
+            busy = await Caller.connect(address)
             for caller in (idle, busy):
-                assert await caller.ask(resp(b"PING")) == b"PONG"
+                assert await caller.request(resp(b"PING")) == b"PONG"
             busy.writer.write(command("one"))
             await until(lambda: stub.events_of(RequestReceived))
             for caller, name in ((idle, "two"), (busy, "three")):
@@ -95,8 +95,8 @@
             fail_all()
             await until(lambda: len(stub.events_of(RequestReceived)) == 3)
             fail_all()
-            assert [str(await busy.answer()) for _ in range(2)] == ["ERR failed"] * 2
-            assert str(await idle.answer()) == "ERR failed"
+            assert [str(await busy.read_response()) for _ in range(2)] == ["ERR failed"] * 2
+            assert str(await idle.read_response()) == "ERR failed"
             assert await is_closed(idle)
             assert await is_closed(busy)
 
@@ -106,13 +106,13 @@
 def test_answers_the_first_request_on_a_connection_accepted_before_the_drain() -> None:
     async def body() -> None:
         async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             await until(lambda: ingress.clients.idle_connections.awaiting_first_request)
             ingress.clients.drain()
             caller.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
             fail_all()
-            assert str(await caller.answer()) == "ERR failed"
+            assert str(await caller.read_response()) == "ERR failed"
             assert await is_closed(caller)
 
     run(body())
@@ -122,22 +122,22 @@
     async def body() -> None:
         async with ingress_with_open_requests() as (ingress, address, stub, fail_all):
             ingress.clients.max_connections = 1
-            first = await Caller.to(address)
+            first = await Caller.connect(address)
             first.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
-            second = await Caller.to(address)
+            second = await Caller.connect(address)
             second.writer.write(command("second"))
             await until(lambda: ingress.clients.accepting_paused)
             ingress.clients.drain()
             fail_all()
-            assert str(await first.answer()) == "ERR failed"
+            assert str(await first.read_response()) == "ERR failed"
             assert await is_closed(first)
             await until(lambda: len(stub.events_of(RequestReceived)) == 2)
             fail_all()
-            assert str(await second.answer()) == "ERR failed"
+            assert str(await second.read_response()) == "ERR failed"
             assert await is_closed(second)
             with pytest.raises(ConnectionError):
-                await Caller.to(address)
+                await Caller.connect(address)
 
     run(body())
 
@@ -147,13 +147,13 @@
 
     async def body() -> None:
         async with ingress_with_open_requests() as (ingress, address, stub, _):
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command("one"))
             await until(lambda: stub.events_of(RequestReceived))
             send_now(caller, command("two"))  # not read yet when the listener closes
             ingress.exchange.fail_open_requests()
             ingress.clients.close()
-            assert str(await caller.answer()) == "ERR failed"
+            assert str(await caller.read_response()) == "ERR failed"
             assert not await caller.reader.read()  # end of stream, not a reset
             caller.writer.close()
             await until(lambda: ingress.clients.empty())
@@ -170,11 +170,11 @@
             ):
                 stub = ScriptedPolicy(start_attempt)
                 ingress.exchange.policy = stub
-                caller = await Caller.to(address)
+                caller = await Caller.connect(address)
                 caller.writer.write(command("one"))
                 await until(lambda: ingress.backends.connection_count == 1)  # type: ignore[attr-defined]
                 ingress.exchange.fail_open_requests()
-                assert str(await caller.answer()) == "ERR failed"
+                assert str(await caller.read_response()) == "ERR failed"
                 caller.writer.write(command("two", d=int(1000 * LONG_TIMEOUT_S)))
                 await until(lambda: len(stub.events_of(RequestReceived)) == 2)
                 data = await received_bytes(ingress, await slow.accept(2))
@@ -263,7 +263,7 @@
             async with asyncio.timeout(2):
                 await until(lambda: ingress.clients.stall_detector.stalled_since is None)
             assert len(ingress.clients.connections) == 1  # the failed connections are removed
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            assert await caller.request(resp(b"PING")) == b"PONG"
             for sock in waiting:
                 sock.close()
 
@@ -279,7 +279,7 @@
             caller = await connected_caller(address)
             send_now(caller, command("old", d=1000) + command("longer", d=2000))
             clock.stalled_for += 1.2
-            assert str(await caller.answer()).startswith("BUSY")
+            assert str(await caller.read_response()).startswith("BUSY")
             await until(lambda: stub.events_of(RequestReceived))
             assert len(stub.events_of(RequestReceived)) == 1
             assert not ingress.exchange.client_request_ids - {b"longer"}
@@ -297,7 +297,7 @@
         stub = ScriptedPolicy(None)
         ingress.exchange.policy = stub
         ingress.clients.open()
-        caller = await Caller.to(ingress.clients.listening_socket.getsockname())
+        caller = await Caller.connect(ingress.clients.listening_socket.getsockname())
         caller.writer.write(command("first"))
         await until(lambda: stub.events_of(RequestReceived))
         assert stub.events_of(RequestReceived)[0].time_left == 2.0 - 0.02
