--- a/ingress/platform/key_file.py
+++ b/ingress/platform/key_file.py
@@ -45,7 +45,9 @@
     id_text, _, key_text = line.strip().partition(" ")
     is_number = id_text.isdecimal() and id_text.isascii()
     if not is_number or int(id_text) > MAX_KEY_ID or int(id_text) in earlier:
-        raise KeyFileError(f"{where}: key id is not a unique number from 0 to {MAX_KEY_ID}")
+        raise KeyFileError(
+            f"{where}: key id is not a number from 0 to {MAX_KEY_ID}, unique in the file"
+        )
     try:
         key = bytes.fromhex(key_text)
     except ValueError:
--- a/tests/test_membership_settings.py
+++ b/tests/test_membership_settings.py
@@ -85,9 +85,9 @@
     ("keys", "words"),
     [
         ("", "0 keys"),
-        ("x y\n", "line 1: key id is not a unique number from 0 to 255"),
-        (f"256 {KEY}\n", "line 1: key id is not a unique number"),
-        (f"1 {KEY}\n1 {KEY}\n", "line 2: key id is not a unique number"),
+        ("x y\n", "line 1: key id is not a number from 0 to 255, unique in the file"),
+        (f"256 {KEY}\n", "line 1: key id is not a number from 0 to 255"),
+        (f"1 {KEY}\n1 {KEY}\n", "line 2: key id is not a number from 0 to 255"),
         ("1 zz\n", "line 1: not a key"),
         ("1 0011\n", "line 1: not a key"),
         (f"1 {KEY * 5}\n", "line 1: not a key"),
