--- a/ingress/components/handover_upstream.py
+++ b/ingress/components/handover_upstream.py
@@ -61,9 +61,9 @@
     def __init__(self, takeovers: dict[str, int]) -> None:
         self.takeovers = takeovers
 
-    def answer(self, answer: Response) -> None:
+    def respond(self, response: Response) -> None:
         """Counts the response."""
-        self.takeovers[TAKEOVER_COUNTS[answer.kind]] += 1
+        self.takeovers[TAKEOVER_COUNTS[response.kind]] += 1
 
 
 def _attempt_id(attempt: Attempt) -> AttemptId:
--- a/ingress/core/exchange.py
+++ b/ingress/core/exchange.py
@@ -132,19 +132,19 @@
             len(self.open_requests) >= self.max_open_requests
             or self.buffered_bytes > self.max_buffered_bytes
         ):
-            downstream.answer(REJECTED_RESPONSE)
+            downstream.respond(REJECTED_RESPONSE)
             return
         time_left = arrived_at + call.timeout - self.clock()
         time_for_policy = policy_timeout(call.timeout, time_left)
         if time_for_policy <= 0:
-            downstream.answer(REJECTED_RESPONSE)
+            downstream.respond(REJECTED_RESPONSE)
             return
         cell = 0
         if self.placement is not None and call.idempotency_key:
             constraint = self.placement.admit(call, self.clock())
             if constraint.retry_after > 0:
                 retry_after = constraint.retry_after
-                downstream.answer(Response(ResponseKind.REJECTED, retry_after=retry_after))
+                downstream.respond(Response(ResponseKind.REJECTED, retry_after=retry_after))
                 return
             cell = constraint.cell
         request = self._open(downstream, call, arrived_at + call.timeout, time_left)
@@ -190,7 +190,7 @@
 
     def _answer(self, request: OpenRequest, response: Response) -> None:
         self._close(request)
-        request.downstream.answer(response)
+        request.downstream.respond(response)
 
     def _close(self, request: OpenRequest) -> None:
         """Marks a request as one for which no client waits any more."""
--- a/ingress/core/ports.py
+++ b/ingress/core/ports.py
@@ -24,7 +24,7 @@
 
     request_key: str
 
-    def answer(self, answer: Response) -> None:
+    def respond(self, response: Response) -> None:
         """Sends the final response; further responses are dropped."""
 
 
--- a/ingress/transport/pending_response.py
+++ b/ingress/transport/pending_response.py
@@ -42,11 +42,11 @@
         self.call: Call | None = None
         self.data: bytes | None = None
 
-    def answer(self, answer: Response) -> None:
+    def respond(self, response: Response) -> None:
         """Encodes and completes the response; a second final response is dropped."""
         protocol = self.connection.protocol
         try:
-            data = protocol.encode_response(self.call, answer)
+            data = protocol.encode_response(self.call, response)
         except Exception:
             # The client receives a response even if its codec fails to encode this one.
             self.connection.listener.log_codec_fault("a response")
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -65,7 +65,7 @@
     if strikes():
         self._close(request)
         self.timers.call_later(
-            request.deadline - self.clock() + 0.8, request.downstream.answer, answer
+            request.deadline - self.clock() + 0.8, request.downstream.respond, answer
         )
     else:
         real_answer(self, request, answer)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -258,8 +258,8 @@
     def __init__(self, script: Script, number: int) -> None:
         self.script, self.number, self.request_key = script, number, ""
 
-    def answer(self, answer: Any) -> None:
-        self.script.lines.append(f"{self.number}: {answer!r}")
+    def respond(self, response: Any) -> None:
+        self.script.lines.append(f"{self.number}: {response!r}")
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -86,12 +86,12 @@
         self.has_disconnected = False
         self.responses: list[Response] = []
 
-    def answer(self, answer: Response) -> None:
+    def respond(self, response: Response) -> None:
         self.machine.expect(not self.has_disconnected, "no response to a disconnected client")
         self.machine.expect(
             self.machine.timers.now <= self.deadline, "no response after the client's timeout"
         )
-        self.responses.append(answer)
+        self.responses.append(response)
         if self.disconnects:
             self.machine.exchange.client_disconnected(self)
 
