--- a/ingress/components/handover_upstream.py
+++ b/ingress/components/handover_upstream.py
@@ -272,11 +272,11 @@
 
     # The `Upstream` interface
 
-    def change(
+    def update_endpoints(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
         """Passes a change of the list of backends to the inner upstream."""
-        self.inner.change(full, backends, addresses)
+        self.inner.update_endpoints(full, backends, addresses)
 
     def close_idle(self, backend: str) -> None:
         """Closes the idle connections to a backend."""
--- a/ingress/core/exchange.py
+++ b/ingress/core/exchange.py
@@ -225,7 +225,7 @@
             addresses: Host and port of each backend, by its id.
             version: A number that increases with each change of the list.
         """
-        self.upstream.change(kind is not EndpointListKind.UPDATE, backends, addresses)
+        self.upstream.update_endpoints(kind is not EndpointListKind.UPDATE, backends, addresses)
         self.feed(BackendsChanged(kind, backends, version))
 
     def attempt_ended(
--- a/ingress/core/ports.py
+++ b/ingress/core/ports.py
@@ -112,7 +112,7 @@
     was created with; that call may occur before `start` returns.
     """
 
-    def change(
+    def update_endpoints(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
         """Applies entries of the endpoint list.
--- a/ingress/core/upstream_dispatcher.py
+++ b/ingress/core/upstream_dispatcher.py
@@ -23,14 +23,16 @@
         self.upstreams = upstreams
         self.upstream_of = upstream_of
 
-    def change(
+    def update_endpoints(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
         """Passes each upstream its own entries; those without entries receive full lists only."""
         for name, upstream in self.upstreams.items():
             entries = tuple(entry for entry in backends if self.upstream_of(entry.id) == name)
             if entries or full:
-                upstream.change(full, entries, {entry.id: addresses[entry.id] for entry in entries})
+                upstream.update_endpoints(
+                    full, entries, {entry.id: addresses[entry.id] for entry in entries}
+                )
 
     def start(self, attempt: Attempt) -> None:
         """Starts the attempt at its backend's upstream."""
--- a/ingress/transport/backend_pool.py
+++ b/ingress/transport/backend_pool.py
@@ -97,7 +97,7 @@
 
     # The endpoint list
 
-    def change(
+    def update_endpoints(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
         """Applies changed backends with their addresses by id, or the full list."""
--- a/tests/support/pools.py
+++ b/tests/support/pools.py
@@ -57,7 +57,9 @@
     def update(self, *entries: tuple[Backend, Address], full: bool = True) -> None:
         """Passes these backends to the pool, as a full list or as changes."""
         backends = tuple(backend for backend, _ in entries)
-        self.pool.change(full, backends, {backend.id: address for backend, address in entries})
+        self.pool.update_endpoints(
+            full, backends, {backend.id: address for backend, address in entries}
+        )
 
     def record_outcome(
         self, attempt: Attempt, outcome: Outcome, answer: bytes | None, load: Mapping[str, float]
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -202,7 +202,7 @@
         self.timers.append((self.now + delay, callback, (row, args)))
         return SimpleNamespace(cancel=lambda: row.__setitem__(0, False))
 
-    def change(self, full: bool, backends: Any, addresses: Any) -> None: ...
+    def update_endpoints(self, full: bool, backends: Any, addresses: Any) -> None: ...
 
     def start(self, attempt: Any) -> None:
         self.lines.append(f"start {attempt.request_key} {attempt.number} {attempt.backend}")
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -170,7 +170,7 @@
 
     # The upstream
 
-    def change(self, full: bool, backends: Any, addresses: Any) -> None:
+    def update_endpoints(self, full: bool, backends: Any, addresses: Any) -> None:
         self.listed_backends = backends
 
     def start(self, attempt: Attempt) -> None:
