--- a/ingress/core/exchange.py
+++ b/ingress/core/exchange.py
@@ -55,7 +55,7 @@
 
 
 class Exchange:
-    """The open requests of all clients. All decisions are the policy's.
+    """Holds the open requests of all clients; the policy makes all decisions.
 
     A call is rejected immediately while `max_open_requests` requests are open or the open requests
     hold more than `max_buffered_bytes`.
--- a/ingress/handover/coordinator.py
+++ b/ingress/handover/coordinator.py
@@ -51,7 +51,7 @@
     durable_position: int = 0
     previous_store_id: bytes = b""  # store and position of its previous process
     previous_position: int = 0
-    # Whether it confirms that the recovered store holds all that it knows to be durable there.
+    # Whether it confirms that the recovered store reaches the durable position that it remembers.
     confirms_store: bool | None = None
     synced: bool = False  # it has sent all its records since this process started
     sync_requested_at: float = NEVER
@@ -102,8 +102,8 @@
     def open(self, now: float, name: bytes, digest: bytes, call: bytes = b"") -> int:
         """Asks the replicas whether an operation may be sent; returns its number.
 
-        The decision is made at the first `tick` that is more than `max_delay` after `now`, or
-        earlier.
+        The decision is made at the latest at the first `tick` that is more than `max_delay` after
+        `now`.
         """
         self.last_operation += 1
         number = self.last_operation
@@ -260,7 +260,7 @@
             self._update_recovery(now)
 
     def _advance_incarnation(self, incarnation: int) -> None:
-        """Takes an incarnation after that of an earlier process, whose clock ran ahead."""
+        """Adopts a greater incarnation than that of an earlier process whose clock ran ahead."""
         self.incarnation = incarnation + 1
         undecided = [
             number for number, operation in self.operations.items() if not operation.decided
@@ -269,7 +269,7 @@
             self._conclude(number, Decision(0, Verdict.UNPROTECTED))
 
     def _update_recovery(self, now: float) -> None:
-        """Ends the recovery once no record can be missing undetected.
+        """Ends the recovery once it is certain that no record is missing.
 
         A disk may return an old or an empty state as if it were the latest. Only the other
         instances know how much this instance had acknowledged.
@@ -320,7 +320,7 @@
         self.outbox.append((other, heartbeat))
 
     def is_suspect(self, now: float, other: str) -> bool:
-        """Returns whether an instance may be dead, partitioned or paused, which look the same."""
+        """Returns whether an instance may be dead, partitioned or paused; these look the same."""
         peer = self.peers.get(other)
         if peer is None or not peer.connected:
             return True
@@ -340,7 +340,7 @@
     def tick(self, now: float) -> None:
         """Decides operations that have waited longer than `max_delay`, and sends due heartbeats.
 
-        To be called several times within `max_delay`.
+        The driver calls it several times within `max_delay`.
         """
         for number, operation in list(self.operations.items()):
             if not operation.decided and now - operation.opened_at > self.settings.max_delay:
--- a/ingress/idempotency/key_affinity.py
+++ b/ingress/idempotency/key_affinity.py
@@ -1,13 +1,13 @@
 """The home cell of each submission, which all gateways derive identically and without messages.
 
 The names of the listed backends are placed on a ring (consistent hashing: Karger et al., 1997). A
-submission belongs to the next name after its position, and its home is the cell, a deduplication
-scope, of that backend's generation. Homes depend only on the endpoint list and the start times in
+submission belongs to the first name at or after its position. Its home is the cell (a deduplication
+scope) of that backend's generation. Homes depend only on the endpoint list and the start times in
 it, so that a gateway that has just started derives the same homes as gateways that have run for
 days.
 
 Gateways receive the same change at most `list_skew_s` seconds apart. A change therefore takes
-effect that long after a gateway receives it, when all gateways have received it, and
+effect `list_skew_s` after a gateway receives it, when all gateways have received it.
 `possible_cells` returns each cell that was a home at any gateway during a period. A generation
 takes effect at the same time at all gateways, a fixed time after the start of its process, as
 reported by discovery. A backend that is draining keeps its place on the ring.
@@ -79,7 +79,7 @@
         self.removed_at = inf
 
     def apply_first_entry(self, backend: Backend, settle_s: float) -> None:
-        """Applies the backend's entry in a gateway's first list, which implies no change."""
+        """Applies the backend's entry in a gateway's first list, which reports no change."""
         effective_at = backend.started_at + settle_s if backend.started_at else -inf
         self.generations.change(effective_at, backend.cell)
         self._record_entry(backend)
@@ -193,7 +193,7 @@
                 ready_counts[cell] = ready_counts.get(cell, 0) + is_ready
         for cell in self.availability.keys() | ready_counts:
             is_available = ready_counts.get(cell, 0) > 0
-            # A first list gives no time of change: for other gateways the cell may be available.
+            # The first list has no time of change: other gateways may still use the cell.
             timeline = self.availability.setdefault(cell, Timeline(is_first))
             if timeline.latest() != is_available:
                 timeline.change(now + self.list_skew_s, is_available)
@@ -224,7 +224,7 @@
         return NOT_LISTED
 
     def settling_cell(self, position: int) -> int:
-        """Returns the cell of the next backend that accepts requests, in effect or not, or 0."""
+        """Returns the next ready backend's cell, even before its generation takes effect, or 0."""
         for name in self._names_from(position, points_per_backend(len(self.histories))):
             for cell, is_ready in self.histories[name].ready.items():
                 if is_ready:
@@ -262,7 +262,7 @@
         return self.availability[cell].values_between(start, end) or {False, True}
 
     def _listed_count(self, time: float) -> int:
-        """Returns the number of backends listed at a time, or a bound that has the same effect."""
+        """Returns the number of backends listed at a time, or a bound that gives the same ring."""
         if len(self.histories) <= POINTS_BY_BACKENDS[0][0]:
             return len(self.histories)
         return sum(
--- a/ingress/policy/admission.py
+++ b/ingress/policy/admission.py
@@ -62,7 +62,7 @@
         self._dispatcher = dispatcher
         self._classes = {c.name: c for c in settings.classes}
         self._plans = {p.name: p for p in settings.plans}
-        self._first_time_left: dict[str, float] = {}  # of requests that are no retries, by class
+        self._first_time_left: dict[str, float] = {}  # of first requests, by class
         self.customers: dict[str, Customer] = {}
         self.started_at = 0.0
 
@@ -128,8 +128,8 @@
     def _is_past_objective(self, event: RequestReceived, request_class: RequestClass) -> bool:
         """Returns whether a retry can no longer be answered within its latency objective.
 
-        The time left of a marked retry shows when the first request was sent, unless it is limited
-        to that of a first request.  Late retries use capacity that other requests could use in
+        The time left of a marked retry shows when the client sent the first request, unless it
+        equals that of a first request.  Late retries use capacity that other requests could use in
         time.
         """
         if not event.is_retry:
--- a/ingress/policy/gateway.py
+++ b/ingress/policy/gateway.py
@@ -39,7 +39,7 @@
 from ingress.policy.timers import CONSISTENCY_TIMER, DISCOVERY_TIMER, TICK_TIMER
 
 TICK_PERIOD_S: Final = 0.25
-"""Interval between reports to the counter.  Ceilings never depend on use unreported this long."""
+"""Interval between reports to the counter.  Ceilings hold even if use is unreported this long."""
 MIN_REPOLL_SHARE: Final = 0.1
 MAX_REPOLL_SHARE: Final = 0.25
 """Bounds of the random delay before a failed poll of the endpoint list is repeated.
--- a/ingress/policy/quota_estimate.py
+++ b/ingress/policy/quota_estimate.py
@@ -16,7 +16,7 @@
 NEVER: Final = -1e18
 """A point in time before every other."""
 KEY_EXPIRY_MARGIN_S: Final = 5.0
-"""Margin before the counter may forget a key, within which the key is no longer read."""
+"""A key is no longer read from this time before the counter may forget it."""
 UNLIMITED_MAX_AGE_S: Final = 1.0
 """Time for which other gateways' use is trusted if the plan has no rate."""
 
@@ -35,8 +35,8 @@
             timed out.
         uncertain_units: The part of `own_units` from calls without a reply, which may not have been
             added.
-        hidden_units: The part of the last total that other gateways used if the units uncertain
-            before it were not added.
+        hidden_units: Units of the last total that other gateways used in addition if the units
+            uncertain before that total were never added.
         others_units: Units added by other gateways, as far as known.
         lost_units: Units lost with replaced counters.
         missing_units: Units that the last total proved not to have been added; they are to be added
@@ -129,7 +129,7 @@
         last_total_at: The time of the last total.
         quota_share: The share of the bucket that may be given out at this gateway.
         ceiling_lower_bound: A lower bound of the units left under the ceiling at `updated_at`,
-            which treats all use before then as if it had happened last.
+            which assumes that all earlier use happened immediately before then.
     """
 
     def __init__(self, plan: Plan, now: float, slice_below_request: bool) -> None:
@@ -173,7 +173,7 @@
         """Returns this gateway's even share of the last total's remainder, refilled since then.
 
         When totals stop, slices with little use are full, although their units were lent to other
-        gateways: relying on the slice alone would give them out a second time.
+        gateways: relying on the slice alone would give those units out again.
         """
         refilled = max(0.0, self.level_at_update) + self.refill_rate * (now - self.updated_at)
         return min(self.capacity, refilled) / gateway_count - self.units_since_update
--- a/ingress/policy/quota_reporting.py
+++ b/ingress/policy/quota_reporting.py
@@ -18,15 +18,15 @@
 from ingress.policy.settings import Settings
 
 COUNT_TOLERANCE_BURSTS: Final = 0.1
-"""Bursts by which a count may leave its range before a correction; more under overload."""
+"""Bursts by which a count may leave its range before it is corrected; more under overload."""
 COUNTER_BACKOFF_S: Final = 1.0
-"""Delay before a customer with an unreachable count is reported again; half of it at first."""
+"""Delay before a customer with an unreachable count is reported again; the first is half."""
 REPORT_BURST_SHARE: Final = 1 / 8
 MIN_REPORTS_PER_TICK: Final = 4
-"""Reports to an overloaded counter, whose replies show when it has recovered."""
+"""Reports sent even to an overloaded counter, since its replies show when it has recovered."""
 MAX_REPORTS_PER_TICK: Final = 24
 UNREACHABLE_REPORT_COST: Final = MAX_REPORTS_PER_TICK // 2
-"""Number of reports that an unreachable count uses up: more counts are probably unreachable."""
+"""Number of reports that one to an unreachable count uses up: others may be unreachable too."""
 
 
 class CounterCall:
@@ -117,12 +117,12 @@
             now: The time in seconds.
             customer: The customer whose count is called.
             requests: The requests that will wait for the reply.  Their units are added with the
-                call: otherwise two gateways that call at the same time would both receive the same
-                units left, whereas this way the later call's total includes the earlier one's.
+                call, so that the total of a later call includes them.  Otherwise two gateways that
+                call at the same time would both give out the same remaining units.
 
         Returns:
-            Whether the call is made.  It is not while another call is in flight, during the
-            backoff after a failure, or, with some probability, while the counter is overloaded.
+            Whether the call is made.  No call is made while another one is in flight or during the
+            backoff after a failure; while the counter is overloaded, calls are skipped at random.
         """
         if (
             not self.enabled
--- a/tests/test_ceilings.py
+++ b/tests/test_ceilings.py
@@ -388,8 +388,8 @@
 ) -> None:
     """One gateway borrows the quota's burst, and five others then use their slices.
 
-    The second case uses a count of customers with slices below one request, in which idle time
-    accumulates as credit.
+    In the second case slices are smaller than one request, so the count decides; idle time
+    accumulates in it as credit.
     """
     assert max_overrun(monkeypatch, many, plan) <= 0.0
 
@@ -411,7 +411,7 @@
 def test_idle_time_that_accumulates_as_credit_under_a_ceiling_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seeded fault: a corrected count decides for slices below one request even under a ceiling."""
+    """Seeded fault: for slices below one request, a corrected count decides despite a ceiling."""
     monkeypatch.setattr(Customer, "__init__", init_decided_by_counter)
     monkeypatch.setattr(Customer, "ceiling_confirmed", confirmed_by_level)
     assert max_overrun(monkeypatch, SMALL_SLICES, SIMULATED_WIDE_CEILING) > 0.0
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -72,8 +72,8 @@
     key = next(n for n in range(99) if placement.admit(call(n), 1.0).cell == OLD)
     placement.endpoints_changed([backend(0, OLD, state=Readiness.DRAINING)], False, 5.0)
     assert placement.admit(call(key), 6.0) == PlacementConstraint(NEW)
-    # A marked retry may have run there. It is rejected until the old cell has forgotten its key,
-    # even if a gateway that received the drain later sent it there.
+    # The first attempt of a marked retry may have run in the old cell, even if sent by a gateway
+    # that received the drain later. The retry is rejected until that cell has forgotten its key.
     constraint = placement.admit(call(key, True), 6.0)
     assert constraint.cell == 0
     assert constraint.retry_after == pytest.approx(3.0 + LIST_SKEW_S)
@@ -182,7 +182,7 @@
         self.attempts = 0
         self.fleet = {f"s{n}": OLD for n in range(4)}
         self.placement.endpoints_changed([backend(n, OLD) for n in range(4)], True, self.now)
-        # The times at which each key may have run, with the cell of each.
+        # Time and cell of each attempt that may have run, by key.
         self.may_have_run: dict[int, list[tuple[float, int]]] = {}
         self.in_flight: list[tuple[Attempt, int, int]] = []
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -95,7 +95,7 @@
 
 
 def test_does_not_forward_a_request_whose_client_disconnects_during_the_settle_time() -> None:
-    """The attempt waits for the connection's settle time and is withdrawn meanwhile."""
+    """The attempt is withdrawn while it waits for the connection's settle time to end."""
 
     async def body() -> None:
         async with backend() as peer:
@@ -136,7 +136,7 @@
 def test_notices_a_disconnect_while_reading_is_paused(
     how: str, why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """More input is unread than may be read, so the event loop never reports the disconnection."""
+    """Unread input exceeds the read limit, so the event loop never reports the disconnection."""
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 1e9)
 
@@ -202,7 +202,7 @@
 
 
 def test_late_duplicate_of_a_response_is_discarded() -> None:
-    """It arrives 10 ms after the first, while the next request waits for that connection."""
+    """The duplicate arrives 10 ms after the response, while a request awaits the connection."""
     duplicate_due = asyncio.Event()
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -23,7 +23,7 @@
 
 
 def test_submission_takes_effect_once_if_its_owner_is_killed_at_any_step() -> None:
-    """For each step, one owner kills itself at this step."""
+    """For each step, one owner kills itself at that step."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
@@ -87,7 +87,8 @@
 def test_pause_between_check_and_write_has_a_second_effect_only_without_a_fence(fault: str) -> None:
     """The owner is paused for longer than backends remember keys.
 
-    The submission takes effect once, or twice if replicas grant a held record of a suspect holder.
+    With the injected fault, replicas grant a record that a suspect instance holds, and the
+    submission takes effect twice instead of at most once.
     """
 
     async def case(fleet: HandoverFleet) -> None:
