--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -355,7 +355,7 @@
         for connection in self.connections.outbound.values():
             connection.flush()
 
-    def send(self: Any, call: Call, left: float) -> bytes:
+    def send(self: Any, call: Call, time_left: float) -> bytes:
         """The last look was before this, and the write comes right after."""
         if (
             step == "writing"
@@ -363,7 +363,7 @@
             and not call.client_request_id.startswith(b"takeover")
         ):
             act()
-        return real_send_words(self, call, left)
+        return real_send_words(self, call, time_left)
 
     real_send_words = RespBackendProtocol.encode_request
     replace_attribute(RespBackendProtocol, "encode_request", send)
--- a/tests/golden_cases/protocols.py
+++ b/tests/golden_cases/protocols.py
@@ -275,7 +275,9 @@
     found: dict[str, Any] = {}
     for case, call in calls().items():
         protocol = backend_protocol(name, Counter())
-        found[f"sends {case}"] = plain([protocol.encode_request(call, left) for left in (1.5, 0.0)])
+        found[f"sends {case}"] = plain(
+            [protocol.encode_request(call, time_left) for time_left in (1.5, 0.0)]
+        )
     for case, data in BACKEND_ANSWERS[name].items():
         found[f"hears {case}"] = result_of(name, data)
     return found
