--- a/ingress/core/ports.py
+++ b/ingress/core/ports.py
@@ -24,7 +24,7 @@
 
     request_key: str
 
-    def answer(self, answer: Response) -> None:
+    def respond(self, response: Response) -> None:
         """Sends the final response; further responses are dropped."""
 
 
@@ -112,7 +112,7 @@
     was created with; that call may occur before `start` returns.
     """
 
-    def change(
+    def update_endpoints(
         self, full: bool, backends: tuple[Backend, ...], addresses: dict[str, tuple[str, int]]
     ) -> None:
         """Applies entries of the endpoint list.
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -71,7 +71,7 @@
     if is_fault_due():
         self._close(request)
         self.timers.call_later(
-            request.deadline - self.clock() + 0.8, request.downstream.answer, answer
+            request.deadline - self.clock() + 0.8, request.downstream.respond, answer
         )
     else:
         real_answer(self, request, answer)
@@ -386,7 +386,7 @@
         for connection in self.connections.outbound.values():
             connection.flush()
 
-    def encode_at_step(self: Any, call: Call, time_left_s: float) -> bytes:
+    def encode_at_step(self: Any, call: Call, time_left: float) -> bytes:
         """Runs between the last check of the attempt and its write."""
         if (
             step == "writing"
@@ -394,7 +394,7 @@
             and not call.client_request_id.startswith(b"takeover")
         ):
             action()
-        return real_encode_request(self, call, time_left_s)
+        return real_encode_request(self, call, time_left)
 
     real_encode_request = RespBackendProtocol.encode_request
     replace_attribute(RespBackendProtocol, "encode_request", encode_at_step)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -207,7 +207,7 @@
         self.timers.append((self.now + delay, callback, (active, args)))
         return SimpleNamespace(cancel=lambda: active.__setitem__(0, False))
 
-    def change(self, full: bool, backends: Any, addresses: Any) -> None: ...
+    def update_endpoints(self, full: bool, backends: Any, addresses: Any) -> None: ...
 
     def start(self, attempt: Any) -> None:
         self.lines.append(f"start {attempt.request_key} {attempt.number} {attempt.backend}")
@@ -265,8 +265,8 @@
     def __init__(self, script: Script, number: int) -> None:
         self.script, self.number, self.request_key = script, number, ""
 
-    def answer(self, answer: Any) -> None:
-        self.script.lines.append(f"{self.number}: {answer!r}")
+    def respond(self, response: Any) -> None:
+        self.script.lines.append(f"{self.number}: {response!r}")
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -78,8 +78,8 @@
             ):
                 stub = ScriptedPolicy(start_attempt)
                 ingress.exchange.policy = stub
-                leaving = await Caller.to(address)
-                staying = await Caller.to(address)
+                leaving = await Caller.connect(address)
+                staying = await Caller.connect(address)
                 leaving.writer.write(command("left"))
                 await until(lambda: ingress.backends.connection_count == 1)  # type: ignore[attr-defined]
                 disconnect(leaving, how)
@@ -95,7 +95,7 @@
 
 
 def test_does_not_forward_a_request_whose_client_disconnects_during_the_settle_time() -> None:
-    """The attempt waits for the connection's settle time and is withdrawn meanwhile."""
+    """The attempt is withdrawn while it waits for the connection's settle time to end."""
 
     async def body() -> None:
         async with backend() as peer:
@@ -136,7 +136,7 @@
 def test_notices_a_disconnect_while_reading_is_paused(
     how: str, why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """More input is unread than may be read, so the event loop never reports the disconnection."""
+    """Unread input exceeds the read limit, so the event loop never reports the disconnection."""
     monkeypatch.setattr(client_connection, "MAX_PIPELINED_REQUESTS", 4)
     monkeypatch.setattr(client_connection, "PROGRESS_TIMEOUT_S", 1e9)
 
@@ -144,7 +144,7 @@
         async with serving(config()) as (ingress, address):
             stub = ScriptedPolicy(None)
             ingress.exchange.policy = stub
-            caller = await Caller.to(address)
+            caller = await Caller.connect(address)
             caller.writer.write(command("first"))
             await until(lambda: stub.events_of(RequestReceived))
             [client] = ingress.clients.connections
@@ -190,7 +190,7 @@
                 async with serving(config(*servers, settings=settings)) as (ingress, address):
                     stub = ScriptedPolicy(plan)
                     ingress.exchange.policy = stub
-                    caller = await Caller.to(address)
+                    caller = await Caller.connect(address)
                     caller.writer.write(command("a", "order", d=30_000))
                     await until(lambda: stub.events_of(AttemptEnded))
                     window_end = ingress.exchange.clock() + 0.5
@@ -202,7 +202,7 @@
 
 
 def test_late_duplicate_of_a_response_is_discarded() -> None:
-    """It arrives 10 ms after the first, while the next request waits for that connection."""
+    """The duplicate arrives 10 ms after the response, while a request awaits the connection."""
     duplicate_due = asyncio.Event()
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
@@ -249,13 +249,13 @@
     async def body() -> None:
         async with peer, serving(config(entry(peer.address))) as (ingress, address):
             ingress.exchange.policy = ScriptedPolicy(start_attempt)
-            caller = await Caller.to(address)
-            assert await caller.ask(command("one")) == b"one"
+            caller = await Caller.connect(address)
+            assert await caller.request(command("one")) == b"one"
             restarted = Backend("s1", "a", "m", 1, started_at=ingress.exchange.clock())
             ingress.exchange.backends_changed(
                 EndpointListKind.UPDATE, (restarted,), {"s1": peer.address}, 2
             )
-            assert await caller.ask(command("two")) == b"two"
+            assert await caller.request(command("two")) == b"two"
             assert [words[0] for words in peer.commands] == [b"0", b"1"]
 
     run(body())
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -23,7 +23,7 @@
 
 
 def test_submission_takes_effect_once_if_its_owner_is_killed_at_any_step() -> None:
-    """For each step, one owner kills itself at this step."""
+    """For each step, one owner kills itself at that step."""
 
     async def case(fleet: HandoverFleet) -> None:
         await fleet.wait_until_complete()
@@ -87,7 +87,8 @@
 def test_pause_between_check_and_write_has_a_second_effect_only_without_a_fence(fault: str) -> None:
     """The owner is paused for longer than backends remember keys.
 
-    The submission takes effect once, or twice if replicas grant a held record of a suspect holder.
+    With the injected fault, replicas grant a record that a suspect instance holds, and the
+    submission takes effect twice instead of at most once.
     """
 
     async def case(fleet: HandoverFleet) -> None:
@@ -103,7 +104,9 @@
         outcome = await fleet.submit(1, key)
         assert outcome.kind == ("refused" if fault == "none" else "served"), outcome
         start = fleet.world.clock()
-        await fleet.wait_until(lambda: fleet.world.clock() > start + 4.5, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > start + 4.5, "the deduplication window did not pass"
+        )
         if fault == "none":
             outcome = await fleet.submit(2, key)
             assert outcome.kind == "failed"
@@ -134,7 +137,10 @@
         start = fleet.world.clock()
         fleet.slow_down(1.0)
         repeats = asyncio.gather(*(fleet.submit_until_final(n, key, 3.0) for n in (1, 2, 3)))
-        await fleet.wait_until(lambda: fleet.world.clock() > start + pause_seconds, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > start + pause_seconds,
+            "the pause did not reach its length",
+        )
         fleet.resume(0)
         for outcome in await repeats:
             assert outcome.kind == "served", outcome
@@ -165,7 +171,9 @@
             {2, 3, 4}, lambda counts: counts["there"] == 2, "the instance is not paused"
         )
         start = fleet.world.clock()
-        await fleet.wait_until(lambda: fleet.world.clock() > start + 4.5, "")
+        await fleet.wait_until(
+            lambda: fleet.world.clock() > start + 4.5, "the deduplication window did not pass"
+        )
         fleet.resume(1)
         outcome = await repeat
         assert outcome.kind in ("failed", "broken"), outcome
@@ -279,7 +287,7 @@
         assert (await fleet.verdict_counts())["unprotected"] > before["unprotected"]
         start = fleet.world.clock()
         await fleet.wait_until(
-            lambda: fleet.world.clock() > start + 0.8, ""
+            lambda: fleet.world.clock() > start + 0.8, "the delayed messages had no time to arrive"
         )  # until the delayed messages have arrived
         # The same key with another body: neither sent nor answered with the stored response.
         key = fleet.new_key()
