--- a/tests/handover_clients.py
+++ b/tests/handover_clients.py
@@ -27,7 +27,7 @@
 from ingress.testbed.record import Arrival, Try
 from ingress.testbed.scenario import Scenario
 from ingress.testbed.world import World
-from tests.stand import read_counts
+from tests.fleet_harness import read_counts
 
 FIRST_SUBMISSION_NUMBER = 1_000_000  # in the record, for the submissions of these clients
 REQUEST_ID_SUFFIX = "7e577e57"  # marks the requests of these clients
--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -24,7 +24,7 @@
     stamp,
 )
 from ingress.compilation import __main__ as builder
-from tests.twins import forms
+from tests.module_forms import forms
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -29,9 +29,9 @@
     TimerFired,
 )
 from ingress.wire_settings import read_settings
+from tests.gateway_simulation import Simulation
+from tests.module_forms import forms
 from tests.peers import SETTINGS
-from tests.staged import Simulation
-from tests.twins import forms
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,8 +7,8 @@
 import pytest
 
 from ingress.policy import actions, events, gateway, settings
-from tests.staged import Simulation
-from tests.twins import policy_names
+from tests.gateway_simulation import Simulation
+from tests.module_forms import policy_names
 
 POLICY = policy_names(settings, events, actions)
 
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -14,7 +14,7 @@
 from ingress.testbed.deployment import CLASSES, PLANS
 from ingress.testbed.scenario import Fault
 from ingress.testbed.world import World
-from tests.stand import COUNT, FleetHarness, run
+from tests.fleet_harness import COUNT, FleetHarness, run
 
 FAULTY = f"exec {sys.executable} -m tests.faulty"
 EVERYONE = set(range(COUNT))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.stand import COUNT, FleetHarness, run
+from tests.fleet_harness import COUNT, FleetHarness, run
 
 
 def test_twelve_processes_started_at_once_discover_each_other_and_one_leaves_gracefully() -> None:
