--- a/tests/test_http_front.py
+++ b/tests/test_http_clients.py
@@ -41,7 +41,7 @@
     value,
 )
 from tests.support.applications import ScriptedPolicy, start_attempt
-from tests.test_http_wire import h11_server
+from tests.test_http_backend_protocol import h11_server
 from tests.test_mixed_fleets import http_entry
 
 OPERATOR = OperatorConfig(
--- a/tests/test_mixed_fleets.py
+++ b/tests/test_mixed_fleets.py
@@ -29,7 +29,7 @@
 from ingress.policy.events import AttemptEnded, EndpointListKind, Event, RequestReceived
 from tests.peers import SETTINGS, Caller, Peer, backend, command, config, entry, run, value
 from tests.support.applications import ScriptedPolicy
-from tests.test_http_wire import h11_server, problem, response
+from tests.test_http_backend_protocol import h11_server, problem, response
 
 ROOT = Path(__file__).resolve().parent.parent
 MIXED = OperatorConfig(ProtocolVersions(by_kind={"m2": "http-v2"}))
--- a/tests/test_resp3.py
+++ b/tests/test_resp3.py
@@ -40,8 +40,8 @@
     value,
 )
 from tests.support.applications import ScriptedPolicy
-from tests.test_http_front import BODY, READ, HttpClient, post_request
-from tests.test_http_wire import h11_server
+from tests.test_http_backend_protocol import h11_server
+from tests.test_http_clients import BODY, READ, HttpClient, post_request
 
 CALL = Call(
     b"r1",
--- a/tests/test_lab_breaches.py
+++ b/tests/test_testbed_breaches.py
@@ -15,7 +15,7 @@
 from ingress.testbed.invariant_checker import Breach, Verdict, held_back, judge
 from ingress.testbed.scenario import Fault, Scenario
 from ingress.testbed.world import running_world
-from tests.test_lab_scenarios import MAX_RUNS
+from tests.test_testbed_scenarios import MAX_RUNS
 
 SHORT_MEMORY = Deployment(rate=60.0, classes=(CLASSES[0], replace(CLASSES[1], window=0.5)))
 SCENARIOS = {
--- a/tests/test_lab_crowd.py
+++ b/tests/test_testbed_load_generator.py
@@ -11,7 +11,7 @@
 from ingress.testbed import __main__ as command
 from ingress.testbed import load_generator
 from ingress.testbed.load_generator import MAX_PROCESSES, MAX_RATE_PER_PROCESS, process_count
-from tests.test_lab_scenarios import run_testbed
+from tests.test_testbed_scenarios import run_testbed
 
 
 def test_the_process_count_grows_with_the_rate_up_to_its_maximum() -> None:
