--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -75,8 +75,8 @@
 FLEET = tuple(Backend(f"b{n}", zone="ab"[n % 2], cell=n // 2) for n in range(4))
 
 
-class Play:
-    """A gateway under test with a clock; records the gateway's actions."""
+class GatewayDriver:
+    """Drives one gateway under test with a simulated clock and records its actions."""
 
     def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Backend] = FLEET) -> None:
         self.now = 100.0
@@ -91,12 +91,12 @@
         self.actions += produced
         return produced
 
-    def ask(self, after: float = 0.0, **changes: Any) -> list[Action]:
+    def receive_request(self, after: float = 0.0, **changes: Any) -> list[Action]:
         self.count += 1
         event = RequestReceived(f"r{self.count}", "read", "basic", "c", 4.0, gateway_count=2)
         return self.at(after, replace(event, **changes))
 
-    def end(
+    def end_attempt(
         self,
         send: StartAttempt,
         outcome: Outcome = Outcome.OK,
@@ -114,9 +114,9 @@
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-def finals(actions: Iterable[Action]) -> list[Action]:
+def final_responses(actions: Iterable[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
 
 
-def scoped(scope: DeduplicationScope) -> RequestClass:
+def keyed_class_with_scope(scope: DeduplicationScope) -> RequestClass:
     return replace(KEYED, deduplication_scope=scope)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -23,133 +23,134 @@
 from ingress.policy.quota_estimate import QuotaEstimate
 from ingress.policy.settings import Plan, RequestClass, Settings
 
-from .conftest import BASIC, SETTINGS, Play, sends
+from .conftest import BASIC, SETTINGS, GatewayDriver, sends
 
 COUNTING = replace(SETTINGS, counter_available=True, counter_timeout=0.05)
 
 
-def spend(play: Play, times: int, **changes: object) -> int:
+def spend(driver: GatewayDriver, times: int, **changes: object) -> int:
     """Sends `times` requests at one moment, each answered at once; returns the number forwarded."""
     forwarded = 0
     for _ in range(times):
-        attempts = sends(play.ask(0.0, **changes))
+        attempts = sends(driver.receive_request(0.0, **changes))
         forwarded += len(attempts)
         for sent in attempts:
-            play.end(sent, Outcome.OK, 0.0)
+            driver.end_attempt(sent, Outcome.OK, 0.0)
     return forwarded
 
 
-def counter_calls(play: Play) -> list[AddToCounter]:
-    return [a for a in play.actions if isinstance(a, AddToCounter)]
+def counter_calls(driver: GatewayDriver) -> list[AddToCounter]:
+    return [a for a in driver.actions if isinstance(a, AddToCounter)]
 
 
 def test_a_slice_admits_its_share_of_the_burst_and_rejects_further_requests() -> None:
-    play = Play()
-    assert spend(play, 10) == 4  # burst 8 over two gateways
-    rejected = play.ask()[-1]
+    driver = GatewayDriver()
+    assert spend(driver, 10) == 4  # burst 8 over two gateways
+    rejected = driver.receive_request()[-1]
     # The retry needs one unit at rate 2, since it may reach any gateway.
-    assert rejected == RejectRequest(f"r{play.count}", 0.5)
-    play.now += 2.0
-    assert spend(play, 10) == 2
+    assert rejected == RejectRequest(f"r{driver.count}", 0.5)
+    driver.now += 2.0
+    assert spend(driver, 10) == 2
 
 
 def test_a_request_larger_than_the_slice_is_admitted_by_a_full_slice() -> None:
-    play = Play()
-    assert len(sends(play.ask(units=6.0))) == 0  # the slice holds 4
-    play.now += 2.0
-    assert len(sends(play.ask(units=6.0))) == 1
+    driver = GatewayDriver()
+    assert len(sends(driver.receive_request(units=6.0))) == 0  # the slice holds 4
+    driver.now += 2.0
+    assert len(sends(driver.receive_request(units=6.0))) == 1
 
 
 def test_estimated_units_are_settled_with_the_response() -> None:
-    play = Play()
-    sent = sends(play.ask(units=1.0))[0]
-    play.end(sent, Outcome.OK, 0.0, settled_units=4.0)
-    assert spend(play, 10) == 0
-    play.now += 1.0
-    assert spend(play, 10) == 1
+    driver = GatewayDriver()
+    sent = sends(driver.receive_request(units=1.0))[0]
+    driver.end_attempt(sent, Outcome.OK, 0.0, settled_units=4.0)
+    assert spend(driver, 10) == 0
+    driver.now += 1.0
+    assert spend(driver, 10) == 1
 
 
 def test_a_plan_without_a_rate_limits_only_the_attempts_in_flight() -> None:
-    play = Play(replace(SETTINGS, plans=(Plan("basic", max_concurrent=4),)))
-    assert sum(len(sends(play.ask())) for _ in range(5)) == 2  # a limit of 4 over two gateways
+    driver = GatewayDriver(replace(SETTINGS, plans=(Plan("basic", max_concurrent=4),)))
+    # A limit of 4 over two gateways.
+    assert sum(len(sends(driver.receive_request())) for _ in range(5)) == 2
 
 
 def test_idle_customers_with_full_buckets_are_dropped() -> None:
-    play = Play()
+    driver = GatewayDriver()
     for number in range(50):
-        play.ask(customer=f"c{number}")
-    for sent in sends(list(play.actions)):
-        play.end(sent, Outcome.OK, 0.0)
-    play.at(61.0, TimerFired(0))
-    assert not play.gateway.admission.customers
+        driver.receive_request(customer=f"c{number}")
+    for sent in sends(list(driver.actions)):
+        driver.end_attempt(sent, Outcome.OK, 0.0)
+    driver.at(61.0, TimerFired(0))
+    assert not driver.gateway.admission.customers
 
 
 def test_a_low_slice_calls_the_counter_and_borrows_unused_units_of_others() -> None:
-    play = Play(COUNTING)
-    forwarded = spend(play, 1)
-    while not play.gateway.admission.customers["c"].awaiting_reply:
-        forwarded += spend(play, 1)
-        for call in counter_calls(play):
+    driver = GatewayDriver(COUNTING)
+    forwarded = spend(driver, 1)
+    while not driver.gateway.admission.customers["c"].awaiting_reply:
+        forwarded += spend(driver, 1)
+        for call in counter_calls(driver):
             if (
-                call.key in play.gateway.quota_reporter.calls
-                and not play.gateway.admission.customers["c"].awaiting_reply
+                call.key in driver.gateway.quota_reporter.calls
+                and not driver.gateway.admission.customers["c"].awaiting_reply
             ):
-                play.at(0.001, CounterReply(call.key, Outcome.OK, float(forwarded)))
+                driver.at(0.001, CounterReply(call.key, Outcome.OK, float(forwarded)))
         assert forwarded < 20
-    waiting_id = play.gateway.admission.customers["c"].awaiting_reply[0].request_id
-    call = counter_calls(play)[-1]
+    waiting_id = driver.gateway.admission.customers["c"].awaiting_reply[0].request_id
+    call = counter_calls(driver)[-1]
     assert call.amount >= 1.0  # includes the units of the waiting request
-    answer = play.at(0.001, CounterReply(call.key, Outcome.OK, float(forwarded + 1)))
+    answer = driver.at(0.001, CounterReply(call.key, Outcome.OK, float(forwarded + 1)))
     assert [s.request_id for s in sends(answer)] == [waiting_id]
 
 
-def reply(play: Play, outcome: Outcome, total: float = 0.0) -> int:
+def reply(driver: GatewayDriver, outcome: Outcome, total: float = 0.0) -> int:
     """Replies to the calls in flight and returns their number."""
-    waiting = list(play.gateway.quota_reporter.calls)
+    waiting = list(driver.gateway.quota_reporter.calls)
     for key in waiting:
-        for sent in sends(play.at(0.0, CounterReply(key, outcome, total, 0.001))):
-            play.end(sent, Outcome.OK, 0.0)
+        for sent in sends(driver.at(0.0, CounterReply(key, outcome, total, 0.001))):
+            driver.end_attempt(sent, Outcome.OK, 0.0)
     return len(waiting)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.TIMEOUT])
 def test_a_failing_counter_is_called_less_until_it_recovers(outcome: Outcome) -> None:
-    play = Play(replace(COUNTING, gateway_count=200))
+    driver = GatewayDriver(replace(COUNTING, gateway_count=200))
     calls = 0
     for number in range(300):
-        play.ask(0.02, customer=f"c{number}", gateway_count=100)
-        calls += reply(play, outcome)
+        driver.receive_request(0.02, customer=f"c{number}", gateway_count=100)
+        calls += reply(driver, outcome)
     assert 10 < calls < 100
-    assert play.gateway.counter_throttle.call_share == pytest.approx(MIN_CALL_SHARE)
+    assert driver.gateway.counter_throttle.call_share == pytest.approx(MIN_CALL_SHARE)
     calls = 0
     for number in range(200):
-        play.ask(0.02, customer=f"d{number}", gateway_count=100)
-        calls += reply(play, Outcome.OK, 1.0)
+        driver.receive_request(0.02, customer=f"d{number}", gateway_count=100)
+        calls += reply(driver, Outcome.OK, 1.0)
     assert calls > 100
 
 
 def test_an_unreachable_count_stops_only_the_calls_about_that_customer() -> None:
-    play = Play(COUNTING)
-    play.gateway.counter_throttle.call_share = 1.0
+    driver = GatewayDriver(COUNTING)
+    driver.gateway.counter_throttle.call_share = 1.0
     lost_calls = 0
     for number in range(200):  # one request per customer every 20 ms, for 4 s
         for customer in ("lost", "sound"):
-            play.ask(0.01, customer=customer)
-            for key, call in list(play.gateway.quota_reporter.calls.items()):
+            driver.receive_request(0.01, customer=customer)
+            for key, call in list(driver.gateway.quota_reporter.calls.items()):
                 caller = call.customer
                 lost_calls += caller.customer_id == "lost"
                 outcome = Outcome.CONNECT_FAILED if caller.customer_id == "lost" else Outcome.OK
-                for sent in sends(play.at(0.0, CounterReply(key, outcome, float(number), 0.001))):
-                    play.end(sent, Outcome.OK, 0.0)
+                for sent in sends(driver.at(0.0, CounterReply(key, outcome, float(number), 0.001))):
+                    driver.end_attempt(sent, Outcome.OK, 0.0)
     assert 3 <= lost_calls <= 7  # after 0.5 s, then once a second
-    assert play.gateway.counter_throttle.call_share == 1.0
+    assert driver.gateway.counter_throttle.call_share == 1.0
 
 
 def test_without_a_counter_the_slice_alone_decides() -> None:
-    play = Play(COUNTING)
-    play.gateway.admission.started_at = 0.0  # a long-running process: its slice starts full
-    play.gateway.counter_throttle.call_share = 0.0
-    assert spend(play, 12) == 4
+    driver = GatewayDriver(COUNTING)
+    driver.gateway.admission.started_at = 0.0  # a long-running process: its slice starts full
+    driver.gateway.counter_throttle.call_share = 0.0
+    assert spend(driver, 12) == 4
 
 
 SMALL_SLICES = replace(COUNTING, gateway_count=200)
@@ -157,22 +158,24 @@
 
 def test_the_count_decides_if_the_slice_is_below_one_request() -> None:
     for total, admitted in ((1.0, True), (9.0, False)):  # burst 8; totals include this request
-        play = Play(SMALL_SLICES)
-        play.gateway.counter_throttle.call_share = 1.0
+        driver = GatewayDriver(SMALL_SLICES)
+        driver.gateway.counter_throttle.call_share = 1.0
         # The customer's counter key has just begun.
-        play.now = 30.0 * 3 - 30.0 * counter_keys.epoch_offset(counter_keys.key_number("c"))
-        assert not sends(play.ask(gateway_count=100))
-        answer = play.at(0.001, CounterReply(counter_calls(play)[-1].key, Outcome.OK, total, 0.001))
+        driver.now = 30.0 * 3 - 30.0 * counter_keys.epoch_offset(counter_keys.key_number("c"))
+        assert not sends(driver.receive_request(gateway_count=100))
+        answer = driver.at(
+            0.001, CounterReply(counter_calls(driver)[-1].key, Outcome.OK, total, 0.001)
+        )
         assert bool(sends(answer)) is admitted
 
 
 @pytest.mark.parametrize(("total", "corrected"), [(-40.0, 0.0), (30.0, 8.0)])
 def test_a_count_out_of_range_is_corrected_immediately(total: float, corrected: float) -> None:
-    play = Play(SMALL_SLICES)
-    play.gateway.counter_throttle.call_share = 1.0
-    play.now = 30.0 * 3 - 30.0 * counter_keys.epoch_offset(counter_keys.key_number("c"))
-    play.ask(gateway_count=100)
-    answer = play.at(0.001, CounterReply(counter_calls(play)[-1].key, Outcome.OK, total, 0.001))
+    driver = GatewayDriver(SMALL_SLICES)
+    driver.gateway.counter_throttle.call_share = 1.0
+    driver.now = 30.0 * 3 - 30.0 * counter_keys.epoch_offset(counter_keys.key_number("c"))
+    driver.receive_request(gateway_count=100)
+    answer = driver.at(0.001, CounterReply(counter_calls(driver)[-1].key, Outcome.OK, total, 0.001))
     corrections = [a for a in answer if isinstance(a, AddToCounter)]
     assert len(corrections) == 1
     # The corrected count is that of a full or an empty bucket.
@@ -181,39 +184,39 @@
 
 def test_requests_are_admitted_optimistically_if_that_pays_under_counter_overload() -> None:
     for cost, admitted in ((0.5, True), (1.5, False)):
-        play = Play(replace(SMALL_SLICES, plans=(replace(BASIC, over_quota_cost=cost),)))
-        play.gateway.counter_throttle.call_share = 0.0
-        play.gateway.counter_throttle.answered_at = play.now
-        assert bool(sends(play.ask(gateway_count=100))) is admitted
-        play.now += 20.0  # without replies for so long the counter is down, not overloaded
-        assert not sends(play.ask(gateway_count=100))
+        driver = GatewayDriver(replace(SMALL_SLICES, plans=(replace(BASIC, over_quota_cost=cost),)))
+        driver.gateway.counter_throttle.call_share = 0.0
+        driver.gateway.counter_throttle.answered_at = driver.now
+        assert bool(sends(driver.receive_request(gateway_count=100))) is admitted
+        driver.now += 20.0  # without replies for so long the counter is down, not overloaded
+        assert not sends(driver.receive_request(gateway_count=100))
 
 
 def test_use_is_reported_every_quarter_second_for_any_number_of_gateways() -> None:
-    play = Play(SMALL_SLICES)
-    assert SetTimer(0.25, 0) in play.at(0.25, TimerFired(0))
+    driver = GatewayDriver(SMALL_SLICES)
+    assert SetTimer(0.25, 0) in driver.at(0.25, TimerFired(0))
 
 
 def test_a_retry_that_cannot_meet_its_latency_objective_is_rejected() -> None:
-    play = Play()
-    assert sends(play.ask(time_left=4.0))
-    assert sends(play.ask(time_left=3.7, is_retry=True))
+    driver = GatewayDriver()
+    assert sends(driver.receive_request(time_left=4.0))
+    assert sends(driver.receive_request(time_left=3.7, is_retry=True))
     # 1.5 s have passed; the objective is 1 s.
-    assert not sends(play.ask(time_left=2.5, is_retry=True))
+    assert not sends(driver.receive_request(time_left=2.5, is_retry=True))
 
 
 def test_a_customer_far_beyond_its_quota_does_not_cause_a_call_per_request() -> None:
-    play = Play(COUNTING)
+    driver = GatewayDriver(COUNTING)
     total = 0.0
     for _ in range(1000):
-        actions = play.ask(0.01)
+        actions = driver.receive_request(0.01)
         for sent in sends(actions):
-            play.end(sent, Outcome.OK, 0.001)
+            driver.end_attempt(sent, Outcome.OK, 0.001)
         for call in [a for a in actions if isinstance(a, AddToCounter)]:
             total += call.amount
-            for sent in sends(play.at(0.001, CounterReply(call.key, Outcome.OK, total))):
-                play.end(sent, Outcome.OK, 0.001)
-    assert len(counter_calls(play)) < 12 * BASIC.rate * 3
+            for sent in sends(driver.at(0.001, CounterReply(call.key, Outcome.OK, total))):
+                driver.end_attempt(sent, Outcome.OK, 0.001)
+    assert len(counter_calls(driver)) < 12 * BASIC.rate * 3
 
 
 def test_refill_of_idle_time_is_kept_if_use_elsewhere_is_reported_late() -> None:
@@ -224,11 +227,11 @@
 
 
 def test_the_first_total_includes_the_units_of_the_waiting_request() -> None:
-    play = Play(replace(COUNTING, plans=(replace(BASIC, rate=0.001, burst=1.0),)))
-    play.gateway.counter_throttle.call_share = 1.0
-    play.ask()
-    call = counter_calls(play)[-1]
-    assert len(sends(play.at(0.001, CounterReply(call.key, Outcome.OK, 1.0)))) == 1
+    driver = GatewayDriver(replace(COUNTING, plans=(replace(BASIC, rate=0.001, burst=1.0),)))
+    driver.gateway.counter_throttle.call_share = 1.0
+    driver.receive_request()
+    call = counter_calls(driver)[-1]
+    assert len(sends(driver.at(0.001, CounterReply(call.key, Outcome.OK, 1.0)))) == 1
 
 
 @pytest.mark.parametrize(
@@ -238,10 +241,12 @@
 def test_the_count_decides_for_any_set_of_gateways(
     gateways: int, gateway_count: int, first: int
 ) -> None:
-    play = Play(replace(COUNTING, gateway_count=gateways))
-    play.gateway.counter_throttle.call_share = 1.0
-    assert not sends(play.ask(gateway_count=gateway_count, first_gateway=first))
-    assert sends(play.at(0.001, CounterReply(counter_calls(play)[-1].key, Outcome.OK, 1.0, 0.001)))
+    driver = GatewayDriver(replace(COUNTING, gateway_count=gateways))
+    driver.gateway.counter_throttle.call_share = 1.0
+    assert not sends(driver.receive_request(gateway_count=gateway_count, first_gateway=first))
+    assert sends(
+        driver.at(0.001, CounterReply(counter_calls(driver)[-1].key, Outcome.OK, 1.0, 0.001))
+    )
 
 
 def test_a_superseded_request_costs_no_quota() -> None:
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -23,7 +23,7 @@
 from ingress.simulation.reference_gateways import DelayedQuotaGateway
 from ingress.simulation.size import Size
 
-from .conftest import Play, sends
+from .conftest import GatewayDriver, sends
 
 MAX_EXCESS = 0.1  # as a share of the demand within the quotas
 QUOTA_DELAY_S = 0.1  # stricter than the benchmark
@@ -211,8 +211,8 @@
 
 
 def test_the_mean_loss_of_optimistic_admission_decays_with_further_admissions() -> None:
-    play = Play()
-    play.gateway.optimistic_admission.mean_loss = 1.0
-    for sent in sends(play.ask()):
-        play.end(sent)
-    assert 0.0 < play.gateway.optimistic_admission.mean_loss < 1.0
+    driver = GatewayDriver()
+    driver.gateway.optimistic_admission.mean_loss = 1.0
+    for sent in sends(driver.receive_request()):
+        driver.end_attempt(sent)
+    assert 0.0 < driver.gateway.optimistic_admission.mean_loss < 1.0
