--- a/benchmarks/quota_fleet.py
+++ b/benchmarks/quota_fleet.py
@@ -30,7 +30,10 @@
 
 
 def size_of(ingresses: int, seconds: float) -> Size:
-    """Returns a size where 10% of customers request three times their quota and the others stay within."""
+    """Returns a size where 10% of the customers request three times their quota.
+
+    The other customers stay within their quotas, some only by a small margin.
+    """
     low_rate = ingresses > 50
     return Size(
         gateways=ingresses,
