--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -2,7 +2,7 @@
 
 Example: python -m benchmarks.compare HEAD~5 HEAD --rounds 12
 
-Each round plays the same steady load against a new ingress process of each commit.  The order alternates
+Each round sends the same steady load to a new ingress process of each commit.  The order alternates
 between rounds, so that drift of the machine affects both commits.  Compare only the ratios of each round;
 their median is the result.
 """
@@ -47,7 +47,7 @@
 
 
 async def run_round(tree: Path, seconds: float, rate: float, seed: int) -> dict[str, float]:
-    """Plays one round against the ingress in `tree` and returns its figures by name."""
+    """Runs one round against the ingress in `tree` and returns its figures by name."""
     # Requests are short, so that servers never queue and latency depends on the ingress.
     deployment = Deployment(
         ingresses=1, servers=6, rate=rate, busy=0.2, retries=0.0, counter_rate=5000.0
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -2,7 +2,7 @@
 
 Example: python -m benchmarks.cost --rounds 10 --against 1ac7ab3
 
-Each round plays every case against a new process of each subject, in an order that changes between rounds.
+Each round runs every case against a new process of each subject, in an order that changes between rounds.
 The subjects are the relay, this checkout interpreted, this checkout compiled (if the compiled form exists)
 and the commits named by --against.  Clients send requests without pauses.  CPU time is the kernel's account
 of the process, without the warm-up.  Compare only ratios within a round between machines.
--- a/benchmarks/migration.py
+++ b/benchmarks/migration.py
@@ -2,7 +2,7 @@
 
 Example: python -m benchmarks.migration --seeds 20 --json migration.json
 
-Plays each seed with the scenario's faults, without its changes of generation and, with --beside, with that
+Runs each seed with the scenario's faults, without its changes of generation and, with --beside, with that
 command instead of the ingress.  Compares service seed by seed.  Exit status: 0; 1 if a run broke a rule, except
 in runs of --beside; 130 if interrupted.
 """
@@ -63,7 +63,7 @@
 
 
 async def play(name: str, seed: int, command: str, still: bool) -> dict[str, Any]:
-    """Plays one run; each runs in its own process, with its own loopback addresses."""
+    """Runs the scenario once; each run has its own process, with its own loopback addresses."""
     async with running_world(scenario(name, seed, still), command or None) as world:
         await world.play()
         await world.close()
--- a/benchmarks/pairs.py
+++ b/benchmarks/pairs.py
@@ -2,7 +2,7 @@
 
 Example: python -m benchmarks.pairs --rounds 10
 
-Each round plays the same steady load against a new ingress process for every pair, in an order that changes
+Each round sends the same steady load to a new ingress process for every pair, in an order that changes
 between rounds; ratios are computed within a round.  resp2-v1 on both sides runs without an operator file.
 Needs requirements-lab.txt.
 """
--- a/benchmarks/quota_trouble.py
+++ b/benchmarks/quota_trouble.py
@@ -2,7 +2,7 @@
 
 Example: python -m benchmarks.quota_trouble --seeds 20 --json trouble.json
 
-Plays every case over the seeds in virtual time (benchmarks/quota_world.py), with the same requests for all
+Runs every case over the seeds in virtual time (benchmarks/quota_world.py), with the same requests for all
 subjects, and prints one row for each.  A row has the units forwarded beyond the quotas as a share of the allowed
 units, for all plans and for `editorial` alone, and the tries refused although the true store had room, as a
 share of all tries.  Figures are the median over the seeds, with the lowest and the highest.  Exit status: 0;
@@ -41,7 +41,7 @@
 
 
 def play(case: str, subject: str, seed: int, size: Size) -> dict[str, Any]:
-    """Plays one run and returns its figures."""
+    """Runs one simulation and returns its figures."""
     started_at = time.process_time()
     tally = World(size, CASES[case], seed, SUBJECTS[subject]).play()
     return {
@@ -115,14 +115,14 @@
         action="append",
         choices=list(CASES),
         metavar="NAME",
-        help="play only this case; may be repeated: " + "; ".join(CASES),
+        help="run only this case; may be repeated: " + "; ".join(CASES),
     )
     parser.add_argument(
         "--subject",
         action="append",
         choices=list(SUBJECTS),
         metavar="NAME",
-        help="play only this subject; may be repeated: " + "; ".join(SUBJECTS),
+        help="run only this subject; may be repeated: " + "; ".join(SUBJECTS),
     )
     for name, kind, description in (
         ("ingresses", int, "number of ingresses"),
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -257,7 +257,10 @@
 
 
 def test_a_backend_that_rejects_everything_is_ejected_after_the_second_rejection() -> None:
-    """It drains before any list says so: it answers fast, looks idle and would attract all load."""
+    """Guards against load on a draining backend before an endpoint list reports the drain.
+
+    Such a backend answers fast, looks idle and would attract all load.
+    """
     driver = GatewayDriver(AMPLE_QUOTA)
     complete_requests(driver, 0.05)
     draining = "b1"
--- a/tests/test_drain_propagation.py
+++ b/tests/test_drain_propagation.py
@@ -108,7 +108,7 @@
 
 
 def test_requests_wait_for_the_first_answer_of_the_agent() -> None:
-    """The initial endpoint list is outdated: the agent already knows of the drain."""
+    """The initial endpoint list is outdated: the agent has already received the drain."""
     release = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -174,7 +174,7 @@
                 lambda: old.peer.ended
             )  # its silent watch timed out, and the next call reports the drain
             await until(lambda: any(endpoints.version == 41 for _, endpoints in received))
-            # The new agent is behind: it does not know of that drain yet.
+            # The new agent is behind: it has not received that drain yet.
             new.answer = listing(39, True, entry(ADDRESS, "s1"), entry(ADDRESS, "s2", "draining"))
             new.down = False
             await until(lambda: received[-1][1].version == 39)
--- a/tests/test_quota_estimate.py
+++ b/tests/test_quota_estimate.py
@@ -83,7 +83,7 @@
         uncertain_before: Units of the calls that timed out before the last total.
         now: The time in seconds.
         consistent: Whether no check has detected another counter, or missing gateways, since the
-            key came into use.
+            key became valid.
     """
     least = ledger.own_units - ledger.uncertain_units - uncertain_before + ledger.others_units
     most = PLAN.burst + PLAN.rate * (now - ledger.valid_from)  # the maximum within a quota
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -62,7 +62,7 @@
         sock.setblocking(False)
         with suppress(BlockingIOError):
             while True:
-                sock.send(bytes(1 << 16))  # nobody reads, so the receive buffer fills up
+                sock.send(bytes(1 << 16))  # the peer never reads, so its receive buffer fills up
         assert unacknowledged_bytes(listener.getsockname()) > 0
 
 
