--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -84,7 +84,7 @@
 
 
 def test_a_newly_started_gateway_rejects_retries_until_its_history_covers_a_window() -> None:
-    """Guards against a retry placed by a gateway that has no record of recently removed backends."""
+    """Guards against a retry placed by a gateway without a record of recently removed backends."""
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(
         [backend(0, OLD, state=Readiness.DRAINING), *fleet(1, 3)[1:]], True, 100.0
@@ -295,7 +295,7 @@
 
 
 def test_a_retry_is_rejected_while_its_home_may_have_been_skipped_within_the_window() -> None:
-    """Guards against a retry at a recovered home cell whose first attempt was sent to another cell."""
+    """Guards against a retry at a recovered home cell after a first attempt at another cell."""
     placement = Placement(WINDOW_S, SETTLE_S)
     placement.endpoints_changed(fleet(1, 3), True, 0.0)
     key = next(n for n in range(99) if placement.admit(call(n), 1.0).cell == OLD)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -33,7 +33,7 @@
             await submit_until_the_owner_dies(fleet, owner, key)
             other = 6 + owner % 2
             if step in ("asked", "granted", "written"):
-                # The owner may still write it: no instance resends it until the owner has restarted.
+                # The owner may still write it; no instance resends it until the owner restarts.
                 sent = 1 if step == "written" else 0
                 # Data that the process sent before it died arrives a moment later.
                 await fleet.wait_until(
